--- a/core/src/main/java/org/bronzelug/core/action/ActionDecision.java
+++ b/core/src/main/java/org/bronzelug/core/action/ActionDecision.java
@@ -15,11 +15,11 @@
     record StayInDoubt(String reason) implements ActionDecision {}
 
     /** It certainly did not run under this id, and will not: the caller takes a new id. */
-    record RefuseNotRun(String reason) implements ActionDecision {}
+    record RejectNotRun(String reason) implements ActionDecision {}
 
     /** The same id came with another team or body: refused, with no word of the first call. */
-    record RefuseMismatch() implements ActionDecision {}
+    record RejectMismatch() implements ActionDecision {}
 
     /** This VM is not the call's home. */
-    record SendToHome() implements ActionDecision {}
+    record ForwardToOwner() implements ActionDecision {}
 }
--- a/core/src/main/java/org/bronzelug/core/action/ActionLedger.java
+++ b/core/src/main/java/org/bronzelug/core/action/ActionLedger.java
@@ -56,7 +56,7 @@
     public ActionDecision begin(ActionId id, String team, String bodyDigest, long nowNanos) {
         purge(nowNanos);
         if (!answersFor(id.home())) {
-            return new ActionDecision.SendToHome();
+            return new ActionDecision.ForwardToOwner();
         }
         ActionRecord record = records.get(id);
         if (record != null) {
@@ -67,7 +67,7 @@
 
     private ActionDecision decideKnown(ActionRecord record, String team, String bodyDigest) {
         if (!record.matches(team, bodyDigest)) {
-            return new ActionDecision.RefuseMismatch();
+            return new ActionDecision.RejectMismatch();
         }
         if (record.outcome().isEmpty()) {
             return new ActionDecision.Await();
@@ -81,7 +81,7 @@
 
     private ActionDecision runAgain(ActionRecord record) {
         if (closed) {
-            return new ActionDecision.RefuseNotRun("the VM that may run this id is stopping");
+            return new ActionDecision.RejectNotRun("the VM that may run this id is stopping");
         }
         records.put(
                 record.id(),
@@ -99,7 +99,7 @@
             return new ActionDecision.StayInDoubt("the id is older than the records kept");
         }
         if (closed) {
-            return new ActionDecision.RefuseNotRun("the VM that may run this id is stopping");
+            return new ActionDecision.RejectNotRun("the VM that may run this id is stopping");
         }
         records.put(id, new ActionRecord(id, team, bodyDigest, Optional.empty()));
         return new ActionDecision.Run();
@@ -126,7 +126,7 @@
     }
 
     /** All records, for the heir; a call still running is handed over as in doubt. */
-    public List<ActionRecord> recordsToHandOver() {
+    public List<ActionRecord> recordsForSuccessor() {
         if (!closed) {
             throw new IllegalStateException("close the ledger before handing it over");
         }
@@ -142,13 +142,13 @@
     }
 
     /** The incarnations whose ids this ledger answers for, its own first. */
-    public List<Tenure> tenures(long nowNanos) {
-        List<Tenure> tenures = new ArrayList<>();
-        tenures.add(new Tenure(self, period(nowNanos)));
+    public List<OwnershipPeriod> ownershipPeriods(long nowNanos) {
+        List<OwnershipPeriod> ownershipPeriods = new ArrayList<>();
+        ownershipPeriods.add(new OwnershipPeriod(self, period(nowNanos)));
         for (MemberIdentity former : inherited.keySet()) {
-            tenures.add(new Tenure(former, periodOf(former, nowNanos)));
+            ownershipPeriods.add(new OwnershipPeriod(former, periodOf(former, nowNanos)));
         }
-        return tenures;
+        return ownershipPeriods;
     }
 
     /**
@@ -161,8 +161,11 @@
      *     stay in doubt, since a record still to come may say that they ran
      */
     public void adopt(
-            Collection<Tenure> from, List<ActionRecord> taken, boolean complete, long nowNanos) {
-        for (Tenure former : from) {
+            Collection<OwnershipPeriod> from,
+            List<ActionRecord> taken,
+            boolean complete,
+            long nowNanos) {
+        for (OwnershipPeriod former : from) {
             Inherited entry = new Inherited(former.period(), period(nowNanos));
             if (inherited.putIfAbsent(former.identity(), entry) == null) {
                 receiving.add(former.identity());
--- a/core/src/main/java/org/bronzelug/core/action/Tenure.java
+++ b/core/src/main/java/org/bronzelug/core/action/OwnershipPeriod.java
@@ -6,4 +6,4 @@
  * An incarnation whose ids a ledger answers for, and the number of that incarnation's present
  * period. Immutable.
  */
-public record Tenure(MemberIdentity identity, long period) {}
+public record OwnershipPeriod(MemberIdentity identity, long period) {}
--- a/core/src/main/java/org/bronzelug/core/limit/EndpointLimit.java
+++ b/core/src/main/java/org/bronzelug/core/limit/EndpointLimit.java
@@ -33,11 +33,11 @@
     /** A bucket that is fuller than this is about to lose what accrues. */
     private static final double UNUSED_PART = 0.9;
 
-    private static final NamedLimit NONE = new NamedLimit.None();
+    private static final AdvertisedLimit NONE = new AdvertisedLimit.None();
 
     private final FleetBucket bucket;
     private final Deque<Long> sizes = new ArrayDeque<>();
-    private NamedLimit limit = NONE;
+    private AdvertisedLimit limit = NONE;
     private long observedNanos;
     private long reportedAdmitted;
 
@@ -52,15 +52,15 @@
      * @param seenNanos when the answer came
      * @return whether the limit is another one now
      */
-    public boolean observe(NamedLimit named, long seenNanos, long nowNanos) {
-        if (seenNanos < observedNanos || named instanceof NamedLimit.Malformed) {
+    public boolean observe(AdvertisedLimit named, long seenNanos, long nowNanos) {
+        if (seenNanos < observedNanos || named instanceof AdvertisedLimit.Malformed) {
             return false;
         }
         observedNanos = seenNanos;
         if (named.equals(limit)) {
             return false;
         }
-        if (named instanceof NamedLimit.Rate rate) {
+        if (named instanceof AdvertisedLimit.Rate rate) {
             begin(rate.requestsPerSecond(), nowNanos);
         }
         limit = named;
@@ -78,10 +78,10 @@
     }
 
     public boolean isNamed() {
-        return limit instanceof NamedLimit.Rate;
+        return limit instanceof AdvertisedLimit.Rate;
     }
 
-    public NamedLimit limit() {
+    public AdvertisedLimit limit() {
         return limit;
     }
 
@@ -100,7 +100,7 @@
      * @param elsewhere whether an endpoint without a limit can take it
      * @param draw uniform in [0, 1)
      */
-    public boolean tryTake(long size, boolean elsewhere, double draw, long nowNanos) {
+    public boolean tryAcquire(long size, boolean elsewhere, double draw, long nowNanos) {
         if (!isNamed()) {
             return true;
         }
@@ -112,7 +112,7 @@
             bucket.offer(REQUEST, nowNanos);
             return false;
         }
-        return bucket.tryTake(REQUEST, draw, nowNanos);
+        return bucket.tryAcquire(REQUEST, draw, nowNanos);
     }
 
     /** The size from which requests are let in; 0 while the endpoint takes more than it is sent. */
@@ -127,9 +127,9 @@
     }
 
     /** A request that was taken did not reach the endpoint. */
-    public void giveBack(long nowNanos) {
+    public void refund(long nowNanos) {
         if (isNamed()) {
-            bucket.giveBack(REQUEST, nowNanos);
+            bucket.refund(REQUEST, nowNanos);
         }
     }
 
@@ -153,7 +153,7 @@
     }
 
     /** Whether this VM has sent requests since this was asked last. */
-    public boolean hasCountChanged() {
+    public boolean hasUsageChanged() {
         long before = reportedAdmitted;
         reportedAdmitted = bucket.admitted();
         return before != reportedAdmitted;
@@ -164,7 +164,7 @@
         if (isNamed()) {
             // A peer may have counted long before this VM heard of the limit, however long it runs.
             bucket.recordPeer(
-                    new PeerCount(
+                    new PeerBucketUsage(
                             vm,
                             incarnation,
                             count.admitted(),
@@ -176,9 +176,9 @@
     }
 
     /** The part of the fleet's VMs that is heard, and how long a count travels. */
-    public void setFleet(double heardPart, long countDelayNanos) {
-        bucket.setHeardPart(heardPart);
-        bucket.setCountDelay(countDelayNanos);
+    public void setFleet(double reachableFraction, long propagationDelayNanos) {
+        bucket.setReachableFraction(reachableFraction);
+        bucket.setPropagationDelay(propagationDelayNanos);
     }
 
     /**
--- a/core/src/main/java/org/bronzelug/core/limit/FleetBucket.java
+++ b/core/src/main/java/org/bronzelug/core/limit/FleetBucket.java
@@ -32,11 +32,11 @@
     private final UsageHistory usage = new UsageHistory(WINDOW_NANOS);
     private final UsageHistory ownDemand = new UsageHistory(DEMAND_NANOS);
     private final UsageHistory peerDemand = new UsageHistory(DEMAND_NANOS);
-    private final Map<String, PeerCount> peers = new HashMap<>();
+    private final Map<String, PeerBucketUsage> peers = new HashMap<>();
     private double rate;
     private double burst;
-    private double heardPart = 1;
-    private long countDelayNanos = 450_000_000L;
+    private double reachableFraction = 1;
+    private long propagationDelayNanos = 450_000_000L;
     private long admitted;
     private long offered;
 
@@ -49,7 +49,7 @@
         this.rate = rate;
         this.burst = burst;
         if (level < burst) {
-            usage.add(burst - level, heardPart, nowNanos);
+            usage.add(burst - level, reachableFraction, nowNanos);
         }
     }
 
@@ -58,7 +58,7 @@
      *
      * @param draw uniform in [0, 1): decides where only a part of the requests is admitted
      */
-    public boolean tryTake(long amount, double draw, long nowNanos) {
+    public boolean tryAcquire(long amount, double draw, long nowNanos) {
         offer(amount, nowNanos);
         double level = level(nowNanos);
         if (level < amount || draw >= admittedPart(level, nowNanos)) {
@@ -71,7 +71,7 @@
     /** Counts what is asked for, admitted or not. */
     public void offer(long amount, long nowNanos) {
         offered += amount;
-        ownDemand.add(amount, heardPart, nowNanos);
+        ownDemand.add(amount, reachableFraction, nowNanos);
     }
 
     /** What all VMs that are heard are asked for in a second. */
@@ -84,9 +84,9 @@
      * asked of the peers until their counts arrive.
      */
     private double admittedPart(double level, long nowNanos) {
-        double delaySeconds = countDelayNanos / NANOS_PER_SECOND;
+        double delaySeconds = propagationDelayNanos / NANOS_PER_SECOND;
         double expected = demandRate(peerDemand, nowNanos) * delaySeconds;
-        double available = level + ACCRUING_PART * rate * heardPart * delaySeconds;
+        double available = level + ACCRUING_PART * rate * reachableFraction * delaySeconds;
         return expected <= available ? 1 : available / expected;
     }
 
@@ -96,13 +96,13 @@
 
     /** Takes the amount in any case: it is run already. */
     public void charge(long amount, long nowNanos) {
-        usage.add(amount, heardPart, nowNanos);
+        usage.add(amount, reachableFraction, nowNanos);
         admitted += amount;
     }
 
     /** Gives back what was taken for a request that did not run. */
-    public void giveBack(long amount, long nowNanos) {
-        usage.add(-amount, heardPart, nowNanos);
+    public void refund(long amount, long nowNanos) {
+        usage.add(-amount, reachableFraction, nowNanos);
         admitted -= amount;
     }
 
@@ -116,11 +116,11 @@
      * @param draw uniform in [0, 1)
      */
     public long nanosUntil(long amount, double draw, long nowNanos) {
-        double accruing = Math.max(1, rate * heardPart);
+        double accruing = Math.max(1, rate * reachableFraction);
         double missing = Math.max(0, Math.min(amount, burst) - level(nowNanos));
         double others = demandRate(peerDemand, nowNanos);
         double excess = Math.max(0, (demandRate(ownDemand, nowNanos) + others) / accruing - 1);
-        double spread = draw * Math.min(excess, others / accruing) * countDelayNanos;
+        double spread = draw * Math.min(excess, others / accruing) * propagationDelayNanos;
         return (long) (missing / accruing * NANOS_PER_SECOND + spread);
     }
 
@@ -133,23 +133,23 @@
      * has admitted is subtracted. The failure this prevents: all VMs restart while a team floods,
      * each admits its part of a burst before it hears the others, and nobody pays for it.
      */
-    public void recordPeer(PeerCount count, long nowNanos) {
-        PeerCount before = peers.put(count.vm(), count);
+    public void recordPeer(PeerBucketUsage count, long nowNanos) {
+        PeerBucketUsage before = peers.put(count.vm(), count);
         boolean same = before != null && before.incarnation().equals(count.incarnation());
-        if (before == null && !count.startedWithThis()) {
+        if (before == null && !count.startedTogether()) {
             double above = level(nowNanos) - count.level();
             if (above > 0) {
-                usage.add(above, heardPart, nowNanos);
+                usage.add(above, reachableFraction, nowNanos);
             }
             return;
         }
         if (same) {
-            long usedNanos = nowNanos - countDelayNanos / 2;
-            usage.add(count.admitted() - before.admitted(), heardPart, usedNanos);
-            peerDemand.add(count.offered() - before.offered(), heardPart, usedNanos);
+            long usedNanos = nowNanos - propagationDelayNanos / 2;
+            usage.add(count.admitted() - before.admitted(), reachableFraction, usedNanos);
+            peerDemand.add(count.offered() - before.offered(), reachableFraction, usedNanos);
         } else {
-            usage.add(count.admitted(), heardPart, nowNanos);
-            peerDemand.add(count.offered(), heardPart, nowNanos);
+            usage.add(count.admitted(), reachableFraction, nowNanos);
+            peerDemand.add(count.offered(), reachableFraction, nowNanos);
         }
     }
 
@@ -160,16 +160,16 @@
      * <p>The failure this prevents: the fleet is cut in two with a full bucket on both sides, and
      * the burst is spent twice.
      */
-    public void setHeardPart(double part) {
-        if (part > heardPart) {
+    public void setReachableFraction(double part) {
+        if (part > reachableFraction) {
             usage.raiseParts(part);
         }
-        heardPart = part;
+        reachableFraction = part;
     }
 
     /** How long a count travels until all VMs know it. */
-    public void setCountDelay(long nanos) {
-        countDelayNanos = nanos;
+    public void setPropagationDelay(long nanos) {
+        propagationDelayNanos = nanos;
     }
 
     /** Changes the rate and burst from now on. */
@@ -190,9 +190,9 @@
         rate = newRate;
         burst = newBurst;
         usage.clear();
-        double used = heardPart * newBurst - level;
+        double used = reachableFraction * newBurst - level;
         if (used > 0) {
-            usage.add(used, heardPart, nowNanos);
+            usage.add(used, reachableFraction, nowNanos);
         }
     }
 
@@ -217,6 +217,6 @@
     }
 
     public double level(long nowNanos) {
-        return heardPart * usage.level(rate, burst, nowNanos);
+        return reachableFraction * usage.level(rate, burst, nowNanos);
     }
 }
--- a/core/src/main/java/org/bronzelug/core/limit/PeerCount.java
+++ b/core/src/main/java/org/bronzelug/core/limit/PeerBucketUsage.java
@@ -8,12 +8,12 @@
  * @param admitted since the incarnation started, net of what was given back
  * @param offered asked for since the incarnation started, admitted or not
  * @param level what is left of the burst, as the peer reckons
- * @param startedWithThis whether the peer has not run for longer than this VM
+ * @param startedTogether whether the peer has not run for longer than this VM
  */
-public record PeerCount(
+public record PeerBucketUsage(
         String vm,
         String incarnation,
         long admitted,
         long offered,
         double level,
-        boolean startedWithThis) {}
+        boolean startedTogether) {}
--- a/core/src/main/java/org/bronzelug/core/membership/Freshness.java
+++ b/core/src/main/java/org/bronzelug/core/membership/Freshness.java
@@ -35,7 +35,7 @@
     private final MemberIdentity self;
     private final long limitNanos;
     private final long startNanos;
-    private final Map<String, MemberKnowledge> members = new HashMap<>();
+    private final Map<String, MemberStatus> members = new HashMap<>();
     private Set<String> roster = Set.of();
     private OptionalLong platformAsOf = OptionalLong.empty();
     private boolean settled;
@@ -56,7 +56,7 @@
     }
 
     /** Whether this VM counts for a majority. */
-    public boolean isSettled() {
+    public boolean isCaughtUp() {
         return settled;
     }
 
@@ -95,12 +95,12 @@
                 report.settled() ? OptionalLong.of(sentNanos) : OptionalLong.empty();
         recordMember(report.peer(), sentNanos, peerCovered, report.draining());
         for (ProbeReport.MemberAge member : report.members()) {
-            OptionalLong age = member.coveredAgeNanos();
+            OptionalLong age = member.syncedAgeNanos();
             OptionalLong covered =
                     age.isPresent()
                             ? OptionalLong.of(sentNanos - age.getAsLong())
                             : OptionalLong.empty();
-            long heard = sentNanos - member.heardAgeNanos();
+            long heard = sentNanos - member.lastSeenAgeNanos();
             recordMember(member.identity(), heard, covered, member.draining());
         }
         report.platformAgeNanos().ifPresent(age -> recordPlatform(sentNanos - age));
@@ -108,23 +108,23 @@
     }
 
     private void recordMember(
-            MemberIdentity identity, long heardNanos, OptionalLong covered, boolean draining) {
+            MemberIdentity identity, long receivedNanos, OptionalLong covered, boolean draining) {
         if (identity.vm().equals(self.vm()) || !roster.contains(identity.vm())) {
             return;
         }
-        MemberKnowledge held = members.get(identity.vm());
+        MemberStatus held = members.get(identity.vm());
         if (held == null) {
             members.put(
-                    identity.vm(), new MemberKnowledge(identity, heardNanos, covered, draining));
+                    identity.vm(), new MemberStatus(identity, receivedNanos, covered, draining));
             return;
         }
-        boolean newer = heardNanos > held.heardAsOfNanos();
+        boolean newer = receivedNanos > held.lastSeenNanos();
         members.put(
                 identity.vm(),
-                new MemberKnowledge(
+                new MemberStatus(
                         newer ? identity : held.identity(),
-                        Math.max(heardNanos, held.heardAsOfNanos()),
-                        later(covered, held.coveredAsOfNanos()),
+                        Math.max(receivedNanos, held.lastSeenNanos()),
+                        later(covered, held.syncedAsOfNanos()),
                         newer ? draining : held.draining()));
     }
 
@@ -156,8 +156,8 @@
 
     private List<Long> coveredTimes() {
         List<Long> times = new ArrayList<>();
-        for (MemberKnowledge member : members.values()) {
-            member.coveredAsOfNanos().ifPresent(times::add);
+        for (MemberStatus member : members.values()) {
+            member.syncedAsOfNanos().ifPresent(times::add);
         }
         return times;
     }
@@ -192,15 +192,15 @@
     }
 
     /** What is known of a VM other than this one. */
-    public Optional<MemberKnowledge> member(String vm) {
+    public Optional<MemberStatus> member(String vm) {
         return Optional.ofNullable(members.get(vm));
     }
 
     /** Whether the VM was heard of, by this VM or through another, within the time given. */
-    public boolean heardWithin(String vm, long nowNanos, long withinNanos) {
+    public boolean seenWithin(String vm, long nowNanos, long withinNanos) {
         return vm.equals(self.vm())
                 || member(vm)
-                        .filter(known -> nowNanos - known.heardAsOfNanos() <= withinNanos)
+                        .filter(known -> nowNanos - known.lastSeenNanos() <= withinNanos)
                         .isPresent();
     }
 
@@ -212,43 +212,43 @@
      * restart takes the claims of all others over. And one that is cut off hears nobody, so it
      * judges only while it hears a majority.
      */
-    public boolean isGone(MemberIdentity identity, long nowNanos, long deadAfterNanos) {
+    public boolean isDead(MemberIdentity identity, long nowNanos, long deadAfterNanos) {
         boolean listenedLongEnough = nowNanos - startNanos >= deadAfterNanos;
         if (identity.equals(self) || !listenedLongEnough) {
             return false;
         }
-        if (!hearsMajority(nowNanos, deadAfterNanos)) {
+        if (!reachesMajority(nowNanos, deadAfterNanos)) {
             return false;
         }
-        Optional<MemberKnowledge> known = member(identity.vm());
+        Optional<MemberStatus> known = member(identity.vm());
         boolean replaced =
                 identity.vm().equals(self.vm())
                         || known.filter(held -> !held.identity().equals(identity)).isPresent();
-        return replaced || !heardWithin(identity.vm(), nowNanos, deadAfterNanos);
+        return replaced || !seenWithin(identity.vm(), nowNanos, deadAfterNanos);
     }
 
-    private boolean hearsMajority(long nowNanos, long withinNanos) {
-        long heard = roster.stream().filter(vm -> heardWithin(vm, nowNanos, withinNanos)).count();
+    private boolean reachesMajority(long nowNanos, long withinNanos) {
+        long heard = roster.stream().filter(vm -> seenWithin(vm, nowNanos, withinNanos)).count();
         return heard >= majority();
     }
 
     /** The incarnations known here, this VM's own included. */
-    public MemberRoll roll() {
+    public MemberIndex roll() {
         List<MemberIdentity> known = new ArrayList<>();
         known.add(self);
         members.values().forEach(member -> known.add(member.identity()));
-        return MemberRoll.of(known);
+        return MemberIndex.of(known);
     }
 
     /** This VM's own report, to answer a probe with. */
     public ProbeReport report(long nowNanos, boolean draining) {
         List<ProbeReport.MemberAge> ages = new ArrayList<>();
-        for (MemberKnowledge member : members.values()) {
-            OptionalLong covered = member.coveredAsOfNanos();
+        for (MemberStatus member : members.values()) {
+            OptionalLong covered = member.syncedAsOfNanos();
             ages.add(
                     new ProbeReport.MemberAge(
                             member.identity(),
-                            nowNanos - member.heardAsOfNanos(),
+                            nowNanos - member.lastSeenNanos(),
                             covered.isPresent()
                                     ? OptionalLong.of(nowNanos - covered.getAsLong())
                                     : OptionalLong.empty(),
--- a/core/src/main/java/org/bronzelug/core/membership/MemberRoll.java
+++ b/core/src/main/java/org/bronzelug/core/membership/MemberIndex.java
@@ -12,26 +12,26 @@
  * <p>Two VMs whose rolls have the same digest need no names to speak of members: the place in the
  * roll says which one is meant. Immutable.
  */
-public final class MemberRoll {
+public final class MemberIndex {
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
     private final List<MemberIdentity> members;
     private final long digest;
 
-    private MemberRoll(List<MemberIdentity> members, long digest) {
+    private MemberIndex(List<MemberIdentity> members, long digest) {
         this.members = members;
         this.digest = digest;
     }
 
     /** The roll of these incarnations, at most one a VM. */
-    public static MemberRoll of(Collection<MemberIdentity> identities) {
+    public static MemberIndex of(Collection<MemberIdentity> identities) {
         List<MemberIdentity> sorted = new ArrayList<>(identities);
         sorted.sort(Comparator.comparing(MemberIdentity::vm));
         long digest = 0;
         for (MemberIdentity identity : sorted) {
             digest ^= HASH.hashChars(identity.toString());
         }
-        return new MemberRoll(List.copyOf(sorted), digest);
+        return new MemberIndex(List.copyOf(sorted), digest);
     }
 
     public List<MemberIdentity> members() {
--- a/core/src/main/java/org/bronzelug/core/membership/MemberKnowledge.java
+++ b/core/src/main/java/org/bronzelug/core/membership/MemberStatus.java
@@ -6,13 +6,13 @@
  * What is known of one VM. Immutable.
  *
  * @param identity the newest incarnation heard of
- * @param heardAsOfNanos local monotonic time at which it lived
- * @param coveredAsOfNanos local monotonic time; everything that the VM, while settled, knew then is
+ * @param lastSeenNanos local monotonic time at which it lived
+ * @param syncedAsOfNanos local monotonic time; everything that the VM, while settled, knew then is
  *     known here; empty where there was no such time
  * @param draining whether the VM has said that it is about to stop
  */
-public record MemberKnowledge(
+public record MemberStatus(
         MemberIdentity identity,
-        long heardAsOfNanos,
-        OptionalLong coveredAsOfNanos,
+        long lastSeenNanos,
+        OptionalLong syncedAsOfNanos,
         boolean draining) {}
--- a/core/src/main/java/org/bronzelug/core/membership/PackedAges.java
+++ b/core/src/main/java/org/bronzelug/core/membership/PackedAges.java
@@ -8,7 +8,7 @@
 import java.util.OptionalLong;
 
 /**
- * The ages of a report as one byte a member, in the order of a {@link MemberRoll}.
+ * The ages of a report as one byte a member, in the order of a {@link MemberIndex}.
  *
  * <p>With names and incarnations a report of 350 VMs takes 12 KB, several times a second. A byte
  * counts tens of milliseconds, rounded up, and stands for both ages of a member, the older one: so
@@ -38,28 +38,28 @@
     }
 
     /** Packs the members of a report. */
-    public static PackedAges pack(MemberRoll roll, List<ProbeReport.MemberAge> members) {
+    public static PackedAges pack(MemberIndex roll, List<ProbeReport.MemberAge> members) {
         Map<MemberIdentity, ProbeReport.MemberAge> byIdentity = new HashMap<>();
         members.forEach(member -> byIdentity.put(member.identity(), member));
         byte[] ages = new byte[roll.members().size()];
         Arrays.fill(ages, (byte) NO_CLAIM);
         for (int place = 0; place < ages.length; place++) {
             ProbeReport.MemberAge member = byIdentity.get(roll.members().get(place));
-            if (member != null && fitsAByte(member)) {
-                ages[place] = (byte) unitsUp(member.coveredAgeNanos().orElseThrow());
+            if (member != null && fitsInByte(member)) {
+                ages[place] = (byte) unitsUp(member.syncedAgeNanos().orElseThrow());
                 byIdentity.remove(member.identity());
             }
         }
-        byIdentity.values().removeIf(member -> member.heardAgeNanos() > MAXIMUM_NANOS);
+        byIdentity.values().removeIf(member -> member.lastSeenAgeNanos() > MAXIMUM_NANOS);
         return new PackedAges(ages, List.copyOf(byIdentity.values()));
     }
 
-    private static boolean fitsAByte(ProbeReport.MemberAge member) {
-        OptionalLong covered = member.coveredAgeNanos();
+    private static boolean fitsInByte(ProbeReport.MemberAge member) {
+        OptionalLong covered = member.syncedAgeNanos();
         if (member.draining() || covered.isEmpty()) {
             return false;
         }
-        long lag = covered.getAsLong() - member.heardAgeNanos();
+        long lag = covered.getAsLong() - member.lastSeenAgeNanos();
         return lag >= 0 && lag <= MAXIMUM_LAG_NANOS && covered.getAsLong() <= MAXIMUM_NANOS;
     }
 
@@ -72,7 +72,7 @@
      *
      * @return nothing where the bytes are not of this roll's length
      */
-    public static List<ProbeReport.MemberAge> unpack(MemberRoll roll, byte[] ages) {
+    public static List<ProbeReport.MemberAge> unpack(MemberIndex roll, byte[] ages) {
         List<ProbeReport.MemberAge> members = new ArrayList<>();
         if (ages.length != roll.members().size()) {
             return members;
--- a/core/src/main/java/org/bronzelug/core/membership/PlatformReaders.java
+++ b/core/src/main/java/org/bronzelug/core/membership/PlatformReaders.java
@@ -68,11 +68,11 @@
         List<Candidate> zone = zone(self, heard);
         List<String> ranked = ranked(zone);
         List<String> candidates = ranked.subList(0, Math.min(CANDIDATES_PER_ZONE, ranked.size()));
-        if (isAmongFirst(self.name(), candidates, readers)) {
+        if (isRankedWithin(self.name(), candidates, readers)) {
             return true;
         }
         List<String> reaching = candidates.stream().filter(name -> !isLost(name, zone)).toList();
-        return isAmongFirst(self.name(), reaching, readers);
+        return isRankedWithin(self.name(), reaching, readers);
     }
 
     /**
@@ -119,7 +119,7 @@
         return zones.size() >= LEAST_READERS ? 1 : MOST_PER_ZONE;
     }
 
-    private static boolean isAmongFirst(String name, List<String> ranked, int readers) {
+    private static boolean isRankedWithin(String name, List<String> ranked, int readers) {
         int rank = ranked.indexOf(name);
         return rank >= 0 && rank < readers;
     }
--- a/core/src/main/java/org/bronzelug/core/membership/ProbeReport.java
+++ b/core/src/main/java/org/bronzelug/core/membership/ProbeReport.java
@@ -29,13 +29,13 @@
      * One VM in a report.
      *
      * @param identity its newest incarnation
-     * @param heardAgeNanos how long ago it lived
-     * @param coveredAgeNanos how long ago the peer's configuration covered its; empty: never
+     * @param lastSeenAgeNanos how long ago it lived
+     * @param syncedAgeNanos how long ago the peer's configuration covered its; empty: never
      * @param draining whether it is about to stop
      */
     public record MemberAge(
             MemberIdentity identity,
-            long heardAgeNanos,
-            OptionalLong coveredAgeNanos,
+            long lastSeenAgeNanos,
+            OptionalLong syncedAgeNanos,
             boolean draining) {}
 }
--- a/core/src/main/java/org/bronzelug/core/placement/CacheBelief.java
+++ b/core/src/main/java/org/bronzelug/core/placement/CacheEstimate.java
@@ -17,7 +17,7 @@
  * <p>Memory is bounded for each runner, the least recently used entry going first, as in the
  * engine. Not thread-safe: guarded by its owner.
  */
-public final class CacheBelief {
+public final class CacheEstimate {
     private final int entriesPerRunner;
     private final long lifetimeNanos;
     private final long startNanos;
@@ -28,7 +28,7 @@
      * @param lifetimeNanos an entry not used for so long is not believed any more
      * @param startNanos when this VM began to remember
      */
-    public CacheBelief(int entriesPerRunner, long lifetimeNanos, long startNanos) {
+    public CacheEstimate(int entriesPerRunner, long lifetimeNanos, long startNanos) {
         this.entriesPerRunner = entriesPerRunner;
         this.lifetimeNanos = lifetimeNanos;
         this.startNanos = startNanos;
--- a/core/src/main/java/org/bronzelug/core/placement/PlacementPolicy.java
+++ b/core/src/main/java/org/bronzelug/core/placement/PlacementPolicy.java
@@ -29,17 +29,21 @@
      * @return empty where there is no runner
      */
     public Optional<Placement> choose(
-            PrefixChain chain, Collection<RunnerLoad> runners, CacheBelief belief, long nowNanos) {
+            PrefixChain chain,
+            Collection<RunnerLoad> runners,
+            CacheEstimate cacheEstimate,
+            long nowNanos) {
         boolean known =
-                anyKnown(chain.deepestShared(), chain, runners, belief, nowNanos)
-                        || belief.isComplete(nowNanos)
-                                && anyKnown(chain.root(), chain, runners, belief, nowNanos);
+                anyKnown(chain.deepestSharedLevel(), chain, runners, cacheEstimate, nowNanos)
+                        || cacheEstimate.isComplete(nowNanos)
+                                && anyKnown(chain.root(), chain, runners, cacheEstimate, nowNanos);
         Optional<String> home = known ? Optional.empty() : homeRunner(chain, runners);
         double weight = missingTokenWeight(runners);
         Optional<Placement> best = Optional.empty();
         for (RunnerLoad runner : runners) {
             boolean assumeHome = home.filter(runner.name()::equals).isPresent();
-            Placement candidate = evaluate(chain, runner, assumeHome, weight, belief, nowNanos);
+            Placement candidate =
+                    evaluate(chain, runner, assumeHome, weight, cacheEstimate, nowNanos);
             if (best.isEmpty() || better(chain, candidate, best.get())) {
                 best = Optional.of(candidate);
             }
@@ -66,10 +70,11 @@
             RunnerLoad runner,
             boolean assumeHome,
             double missingTokenWeight,
-            CacheBelief belief,
+            CacheEstimate cacheEstimate,
             long nowNanos) {
-        int cached = belief.cachedTokens(runner.name(), runner.incarnation(), chain, nowNanos);
-        int assumed = assumeHome ? chain.deepestShared().tokens() : 0;
+        int cached =
+                cacheEstimate.cachedTokens(runner.name(), runner.incarnation(), chain, nowNanos);
+        int assumed = assumeHome ? chain.deepestSharedLevel().tokens() : 0;
         int missing = chain.tokens() - Math.max(cached, assumed);
         double weighted = runner.queuedPrefillTokens() + missing * missingTokenWeight;
         double prefill = weighted * settings.nanosPerPrefillToken();
@@ -86,12 +91,12 @@
         if (candidate.costNanos() != best.costNanos()) {
             return candidate.costNanos() < best.costNanos();
         }
-        String key = chain.deepestShared().hash().toString();
+        String key = chain.deepestSharedLevel().hash().toString();
         return Rendezvous.weight(key, candidate.runner()) > Rendezvous.weight(key, best.runner());
     }
 
     private static Optional<String> homeRunner(PrefixChain chain, Collection<RunnerLoad> runners) {
-        String key = chain.deepestShared().hash().toString();
+        String key = chain.deepestSharedLevel().hash().toString();
         return Rendezvous.first(key, runners.stream().map(RunnerLoad::name).toList());
     }
 
@@ -99,12 +104,12 @@
             PrefixLevel level,
             PrefixChain chain,
             Collection<RunnerLoad> runners,
-            CacheBelief belief,
+            CacheEstimate cacheEstimate,
             long nowNanos) {
         return runners.stream()
                 .anyMatch(
                         runner ->
-                                belief.cachedTokens(
+                                cacheEstimate.cachedTokens(
                                                 runner.name(),
                                                 runner.incarnation(),
                                                 chain,
--- a/core/src/main/java/org/bronzelug/core/placement/PrefixChain.java
+++ b/core/src/main/java/org/bronzelug/core/placement/PrefixChain.java
@@ -80,7 +80,7 @@
      * The deepest level that other prompts are likely to share: the last but one, since the last
      * segment is the caller's own question; the only one where there is no other.
      */
-    public PrefixLevel deepestShared() {
+    public PrefixLevel deepestSharedLevel() {
         return levels.get(Math.max(0, levels.size() - 2));
     }
 
--- a/core/src/main/java/org/bronzelug/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/bronzelug/core/retry/RetryBudget.java
@@ -40,7 +40,7 @@
      * @param ratio repeats allowed for each first attempt
      * @param slack repeats allowed besides, for this VM alone
      */
-    public boolean tryRepeat(RepeatKind kind, double ratio, double slack, long nowNanos) {
+    public boolean tryRetry(RetryKind kind, double ratio, double slack, long nowNanos) {
         advance(nowNanos);
         if (sum(repeats) + 1 > kind.budgetPart() * (ratio * sum(firstAttempts) + slack)) {
             return false;
--- a/core/src/main/java/org/bronzelug/core/retry/RepeatKind.java
+++ b/core/src/main/java/org/bronzelug/core/retry/RetryKind.java
@@ -1,7 +1,7 @@
 package org.bronzelug.core.retry;
 
 /** Why a request is sent again: it decides how much of the retry budget may be used. */
-public enum RepeatKind {
+public enum RetryKind {
     /** No endpoint serves the request any more. */
     REQUIRED(1),
 
@@ -10,7 +10,7 @@
 
     private final double budgetPart;
 
-    RepeatKind(double budgetPart) {
+    RetryKind(double budgetPart) {
         this.budgetPart = budgetPart;
     }
 
--- a/core/src/main/java/org/bronzelug/core/routing/RepeatPolicy.java
+++ b/core/src/main/java/org/bronzelug/core/routing/RetryPolicy.java
@@ -1,7 +1,7 @@
 package org.bronzelug.core.routing;
 
 /** What may be done with a request whose outcome is unknown. Immutable. */
-public enum RepeatPolicy {
+public enum RetryPolicy {
     /** Idempotent: may run more than once. */
     IDEMPOTENT,
     /** May run at most once; nothing of it may be repeated. */
--- a/core/src/main/java/org/bronzelug/core/routing/Route.java
+++ b/core/src/main/java/org/bronzelug/core/routing/Route.java
@@ -22,7 +22,7 @@
         String host,
         String pathPrefix,
         boolean stream,
-        RepeatPolicy repeat,
+        RetryPolicy repeat,
         boolean anonymous,
         long timeoutMillis,
         long goalMillis,
--- a/core/src/test/java/org/bronzelug/core/action/ActionLedgerTest.java
+++ b/core/src/test/java/org/bronzelug/core/action/ActionLedgerTest.java
@@ -51,9 +51,9 @@
         ActionId id = id("1");
         begin(id);
         assertThat(ledger.begin(id, "other", "body", 0))
-                .isInstanceOf(ActionDecision.RefuseMismatch.class);
+                .isInstanceOf(ActionDecision.RejectMismatch.class);
         assertThat(ledger.begin(id, "team", "other", 0))
-                .isInstanceOf(ActionDecision.RefuseMismatch.class);
+                .isInstanceOf(ActionDecision.RejectMismatch.class);
     }
 
     @Test
@@ -84,10 +84,10 @@
         begin(running);
         ledger.close();
         ActionLedger heir = new ActionLedger(new MemberIdentity("vm-2", "b"), 0);
-        heir.adopt(ledger.tenures(0), List.of(), false, 0);
+        heir.adopt(ledger.ownershipPeriods(0), List.of(), false, 0);
         assertThat(heir.begin(id("3"), "team", "body", 0))
                 .isInstanceOf(ActionDecision.StayInDoubt.class);
-        heir.adopt(ledger.tenures(0), ledger.recordsToHandOver(), true, 0);
+        heir.adopt(ledger.ownershipPeriods(0), ledger.recordsForSuccessor(), true, 0);
         assertThat(heir.begin(ran, "team", "body", 0)).isInstanceOf(ActionDecision.Repeat.class);
         assertThat(heir.begin(running, "team", "body", 0))
                 .isInstanceOf(ActionDecision.StayInDoubt.class);
@@ -106,13 +106,13 @@
         ledger.close();
         MemberIdentity second = new MemberIdentity("vm-2", "b");
         ActionLedger heir = new ActionLedger(second, 0);
-        heir.adopt(ledger.tenures(0), ledger.recordsToHandOver(), true, 0);
+        heir.adopt(ledger.ownershipPeriods(0), ledger.recordsForSuccessor(), true, 0);
         heir.close();
         ActionLedger last = new ActionLedger(new MemberIdentity("vm-3", "c"), 0);
-        last.adopt(heir.tenures(0), List.of(), false, 0);
+        last.adopt(heir.ownershipPeriods(0), List.of(), false, 0);
         assertThat(last.begin(ran, "team", "body", 0))
                 .isInstanceOf(ActionDecision.StayInDoubt.class);
-        last.adopt(heir.tenures(0), heir.recordsToHandOver(), true, 0);
+        last.adopt(heir.ownershipPeriods(0), heir.recordsForSuccessor(), true, 0);
         assertThat(last.begin(ran, "team", "body", 0)).isInstanceOf(ActionDecision.Repeat.class);
     }
 
@@ -130,7 +130,7 @@
         assertThat(ledger.size()).isEqualTo(1);
         ledger.close();
         ActionLedger heir = new ActionLedger(new MemberIdentity("vm-2", "b"), later);
-        heir.adopt(ledger.tenures(later), ledger.recordsToHandOver(), true, later);
+        heir.adopt(ledger.ownershipPeriods(later), ledger.recordsForSuccessor(), true, later);
         assertThat(heir.begin(ran, "team", "body", later))
                 .isInstanceOf(ActionDecision.StayInDoubt.class);
     }
--- a/core/src/test/java/org/bronzelug/core/action/ActionModel.java
+++ b/core/src/test/java/org/bronzelug/core/action/ActionModel.java
@@ -96,7 +96,7 @@
     private void arrive(ActionId id, String team, String body) {
         MemberIdentity at = anyVm();
         ActionDecision decision = living.get(at).begin(id, team, body, now);
-        if (decision instanceof ActionDecision.SendToHome) {
+        if (decision instanceof ActionDecision.ForwardToOwner) {
             MemberIdentity home = id.home();
             while (!living.containsKey(home) && heirs.containsKey(home)) {
                 home = heirs.get(home);
@@ -126,7 +126,7 @@
                     violations.add("another call's answer for " + id);
                 }
             }
-            case ActionDecision.RefuseNotRun refused -> sayNotRun(id);
+            case ActionDecision.RejectNotRun refused -> sayNotRun(id);
             default -> {
                 // No claim is made that could be wrong.
             }
@@ -177,15 +177,15 @@
         MemberIdentity from = anyVm();
         ActionLedger ledger = living.get(from);
         ledger.close();
-        List<ActionRecord> records = ledger.recordsToHandOver();
+        List<ActionRecord> records = ledger.recordsForSuccessor();
         MemberIdentity heir = anyVm();
         if (heir.equals(from)) {
             heir = start();
         }
         int half = records.size() / 2;
         ActionLedger taker = living.get(heir);
-        List<Tenure> formers = ledger.tenures(now);
-        for (Tenure former : formers) {
+        List<OwnershipPeriod> formers = ledger.ownershipPeriods(now);
+        for (OwnershipPeriod former : formers) {
             heirs.put(former.identity(), heir);
         }
         taker.adopt(formers, records.subList(0, half), false, now);
--- a/core/src/test/java/org/bronzelug/core/limit/EndpointLimitTest.java
+++ b/core/src/test/java/org/bronzelug/core/limit/EndpointLimitTest.java
@@ -25,8 +25,8 @@
         return 1.5 * requestsPerSecond * WINDOW_MILLIS / 1_000 + 5;
     }
 
-    private static NamedLimit rate(double requestsPerSecond) {
-        return new NamedLimit.Rate(requestsPerSecond);
+    private static AdvertisedLimit rate(double requestsPerSecond) {
+        return new AdvertisedLimit.Rate(requestsPerSecond);
     }
 
     /** VMs are replaced and reports lost; the endpoint still gets no more than it named. */
@@ -125,7 +125,7 @@
         double demand = 10 * limit;
         fleet.name(rate(limit));
         fleet.play(10_000, demand);
-        fleet.name(new NamedLimit.None());
+        fleet.name(new AdvertisedLimit.None());
         fleet.play(20_000, demand);
         assertThat(fleet.arrivals(16_000, 20_000)).isEqualTo(fleet.asked(16_000, 20_000));
     }
@@ -135,9 +135,9 @@
     void anEndpointThatTakesNothingIsAskedNowAndThen() {
         EndpointLimit limit = new EndpointLimit(0);
         limit.observe(rate(0), 1, 1);
-        assertThat(limit.tryTake(1, true, 0, 2)).isFalse();
-        assertThat(limit.tryTake(1, true, 0, 15 * NANOS_PER_SECOND)).isTrue();
-        assertThat(limit.tryTake(1, true, 0, 15 * NANOS_PER_SECOND + 1)).isFalse();
+        assertThat(limit.tryAcquire(1, true, 0, 2)).isFalse();
+        assertThat(limit.tryAcquire(1, true, 0, 15 * NANOS_PER_SECOND)).isTrue();
+        assertThat(limit.tryAcquire(1, true, 0, 15 * NANOS_PER_SECOND + 1)).isFalse();
     }
 
     /**
@@ -155,7 +155,8 @@
         int large = 0;
         for (long millis = 1; millis <= 10_000; millis += 50) {
             boolean isLarge = random.nextInt(4) == 0;
-            boolean taken = limit.tryTake(isLarge ? 9_000 : 800, elsewhere, 0, millis * 1_000_000L);
+            boolean taken =
+                    limit.tryAcquire(isLarge ? 9_000 : 800, elsewhere, 0, millis * 1_000_000L);
             large += taken && isLarge ? 1 : 0;
             small += taken && !isLarge ? 1 : 0;
         }
@@ -170,7 +171,7 @@
         EndpointLimit limit = new EndpointLimit(0);
         limit.observe(rate(999_999_999_999_999_999.0), 1, 1);
         for (int request = 1; request <= 10_000; request++) {
-            assertThat(limit.tryTake(1, true, 0.5, NANOS_PER_SECOND + request)).isTrue();
+            assertThat(limit.tryAcquire(1, true, 0.5, NANOS_PER_SECOND + request)).isTrue();
         }
     }
 
@@ -179,9 +180,9 @@
     void theLatestObservationHolds() {
         EndpointLimit limit = new EndpointLimit(0);
         assertThat(limit.observe(rate(2), 10, 10)).isTrue();
-        assertThat(limit.observe(new NamedLimit.None(), 30, 30)).isTrue();
+        assertThat(limit.observe(new AdvertisedLimit.None(), 30, 30)).isTrue();
         assertThat(limit.observe(rate(2), 20, 40)).isFalse();
-        assertThat(limit.observe(new NamedLimit.Malformed("-1"), 50, 50)).isFalse();
+        assertThat(limit.observe(new AdvertisedLimit.Malformed("-1"), 50, 50)).isFalse();
         assertThat(limit.isNamed()).isFalse();
     }
 }
--- a/core/src/test/java/org/bronzelug/core/limit/FleetBucketTest.java
+++ b/core/src/test/java/org/bronzelug/core/limit/FleetBucketTest.java
@@ -45,7 +45,7 @@
         for (long millis = 1; millis <= 20_000; millis++) {
             if (random.nextDouble() < perMilli) {
                 FleetBucket bucket = buckets.get(random.nextInt(vms));
-                if (bucket.tryTake(REQUEST, random.nextDouble(), millis * MILLI)) {
+                if (bucket.tryAcquire(REQUEST, random.nextDouble(), millis * MILLI)) {
                     admitted.add(new long[] {millis, REQUEST});
                 }
             }
@@ -80,7 +80,7 @@
             for (double left = arrivals; left > 0; left--) {
                 FleetBucket bucket = buckets.get(random.nextInt(vms));
                 if (random.nextDouble() < left
-                        && bucket.tryTake(REQUEST, random.nextDouble(), millis * MILLI)) {
+                        && bucket.tryAcquire(REQUEST, random.nextDouble(), millis * MILLI)) {
                     admitted.add(new long[] {millis, REQUEST});
                 }
             }
@@ -112,13 +112,13 @@
     private static void exchange(List<FleetBucket> buckets, long millis, boolean cut) {
         for (FleetBucket hearing : buckets) {
             if (cut) {
-                hearing.setHeardPart(1.0 / buckets.size());
+                hearing.setReachableFraction(1.0 / buckets.size());
                 continue;
             }
             for (FleetBucket telling : buckets) {
                 if (telling != hearing) {
                     hearing.recordPeer(
-                            new PeerCount(
+                            new PeerBucketUsage(
                                     "vm-" + buckets.indexOf(telling),
                                     "first",
                                     telling.admitted(),
@@ -149,33 +149,34 @@
     @ValueSource(longs = {0, 40_000, 90_000})
     void aVmThatStartsFallsToThePeersLevel(long level) {
         FleetBucket bucket = new FleetBucket(RATE, BURST, BURST, 0);
-        bucket.recordPeer(new PeerCount("vm-2", "first", 1_000_000, 1_000_000, level, false), 0);
+        bucket.recordPeer(
+                new PeerBucketUsage("vm-2", "first", 1_000_000, 1_000_000, level, false), 0);
         assertThat(bucket.level(0)).isEqualTo((double) level);
     }
 
     @Test
     void whatAPeerThatStartedWithThisVmAdmittedIsPaidFor() {
         FleetBucket bucket = new FleetBucket(RATE, BURST, BURST, 0);
-        bucket.recordPeer(new PeerCount("vm-2", "first", 130_000, 130_000, 0, true), 0);
+        bucket.recordPeer(new PeerBucketUsage("vm-2", "first", 130_000, 130_000, 0, true), 0);
         assertThat(bucket.level(0)).isEqualTo(BURST - 130_000);
     }
 
     @Test
     void aPeerThatRestartsCountsFromZeroAgain() {
         FleetBucket bucket = new FleetBucket(RATE, BURST, BURST, 0);
-        bucket.recordPeer(new PeerCount("vm-2", "first", 50_000, 50_000, BURST, false), 0);
-        bucket.recordPeer(new PeerCount("vm-2", "second", 10_000, 10_000, BURST, true), 0);
-        bucket.recordPeer(new PeerCount("vm-2", "second", 10_000, 10_000, BURST, true), 0);
+        bucket.recordPeer(new PeerBucketUsage("vm-2", "first", 50_000, 50_000, BURST, false), 0);
+        bucket.recordPeer(new PeerBucketUsage("vm-2", "second", 10_000, 10_000, BURST, true), 0);
+        bucket.recordPeer(new PeerBucketUsage("vm-2", "second", 10_000, 10_000, BURST, true), 0);
         assertThat(bucket.level(0)).isEqualTo(BURST - 10_000);
     }
 
     @Test
     void aRequestThatDidNotRunGivesItsTokensBack() {
         FleetBucket bucket = new FleetBucket(RATE, BURST, BURST, 0);
-        assertThat(bucket.tryTake(60_000, 0, 0)).isTrue();
-        assertThat(bucket.tryTake(60_000, 0, 0)).isFalse();
-        bucket.giveBack(60_000, 0);
-        assertThat(bucket.tryTake(60_000, 0, 0)).isTrue();
+        assertThat(bucket.tryAcquire(60_000, 0, 0)).isTrue();
+        assertThat(bucket.tryAcquire(60_000, 0, 0)).isFalse();
+        bucket.refund(60_000, 0);
+        assertThat(bucket.tryAcquire(60_000, 0, 0)).isTrue();
         assertThat(bucket.admitted()).isEqualTo(60_000);
     }
 }
--- a/core/src/test/java/org/bronzelug/core/limit/LimitedFleet.java
+++ b/core/src/test/java/org/bronzelug/core/limit/LimitedFleet.java
@@ -18,7 +18,7 @@
     private static final int SMALL_FLEET = 12;
     private static final int SMALL_ROUND_MILLIS = 150;
     private static final int LARGE_ROUND_MILLIS = 300;
-    private static final int COUNT_DELAY_ROUNDS = 3;
+    private static final int PROPAGATION_DELAY_ROUNDS = 3;
     private static final int RESTART_MILLIS = 400;
 
     private final Random random;
@@ -29,7 +29,7 @@
     private final List<Answer> answers = new ArrayList<>();
     private final List<Arrival> arrivals = new ArrayList<>();
     private final List<Long> asked = new ArrayList<>();
-    private NamedLimit named = new NamedLimit.None();
+    private AdvertisedLimit named = new AdvertisedLimit.None();
     private int incarnations;
     private int endpointStart;
     private long millis;
@@ -44,7 +44,7 @@
     }
 
     /** From now on the answers of the endpoint name this. */
-    void name(NamedLimit limit) {
+    void name(AdvertisedLimit limit) {
         named = limit;
     }
 
@@ -139,7 +139,7 @@
             String vm,
             String incarnation,
             int sequence,
-            NamedLimit limit,
+            AdvertisedLimit limit,
             long seenAgeMillis,
             long sentMillis,
             EndpointLimit.Count count) {}
@@ -176,16 +176,16 @@
                 return;
             }
             asked.add(millis);
-            if (!limit.tryTake(1, true, random.nextDouble(), nanos())) {
+            if (!limit.tryAcquire(1, true, random.nextDouble(), nanos())) {
                 return;
             }
             arrivals.add(new Arrival(millis, toldMillis));
             answers.add(new Answer(millis + 20 + random.nextInt(280), this));
         }
 
-        private void takeAnswer(NamedLimit said) {
+        private void takeAnswer(AdvertisedLimit said) {
             limit.observe(said, nanos(), nanos());
-            boolean told = said instanceof NamedLimit.Rate;
+            boolean told = said instanceof AdvertisedLimit.Rate;
             toldMillis = told ? Math.min(toldMillis, millis) : NEVER;
         }
 
@@ -202,7 +202,7 @@
             if (millis < startMillis || millis % roundMillis != phase) {
                 return;
             }
-            limit.setFleet(1, (long) COUNT_DELAY_ROUNDS * roundMillis * NANOS_PER_MILLI);
+            limit.setFleet(1, (long) PROPAGATION_DELAY_ROUNDS * roundMillis * NANOS_PER_MILLI);
             for (Report report : heard) {
                 long seenMillis = report.sentMillis() - report.seenAgeMillis();
                 limit.observe(report.limit(), seenMillis * NANOS_PER_MILLI, nanos());
--- a/core/src/test/java/org/bronzelug/core/limit/ModelledFleet.java
+++ b/core/src/test/java/org/bronzelug/core/limit/ModelledFleet.java
@@ -127,7 +127,7 @@
         if (millis < vm.startMillis) {
             return;
         }
-        if (vm.bucket.tryTake(arrival.tokens(), random.nextDouble(), nanos())) {
+        if (vm.bucket.tryAcquire(arrival.tokens(), random.nextDouble(), nanos())) {
             recordRun(arrival.tokens());
             return;
         }
@@ -237,7 +237,7 @@
                     .filter(peer -> isWithin(peer, LIVE_MILLIS))
                     .map(Heard::report)
                     .forEach(this::takePeer);
-            bucket.setHeardPart((1.0 + live) / (1 + known));
+            bucket.setReachableFraction((1.0 + live) / (1 + known));
         }
 
         private boolean isWithin(Heard peer, long limitMillis) {
@@ -245,15 +245,15 @@
         }
 
         private void takePeer(Report peer) {
-            boolean startedWithThis = peer.startMillis() > startMillis - 2_000;
+            boolean startedTogether = peer.startMillis() > startMillis - 2_000;
             bucket.recordPeer(
-                    new PeerCount(
+                    new PeerBucketUsage(
                             peer.vm(),
                             peer.incarnation(),
                             peer.admitted(),
                             peer.offered(),
                             peer.level(),
-                            startedWithThis),
+                            startedTogether),
                     nanos());
         }
     }
--- a/core/src/test/java/org/bronzelug/core/membership/FleetModel.java
+++ b/core/src/test/java/org/bronzelug/core/membership/FleetModel.java
@@ -365,7 +365,7 @@
         private void announce(VersionedObject object, Runnable inForce) {
             install(List.of(object));
             Announcement announcement =
-                    new Announcement(freshness.majority(), freshness.isSettled());
+                    new Announcement(freshness.majority(), freshness.isCaughtUp());
             MemberIdentity announcer = identity;
             push(
                     object,
@@ -407,7 +407,7 @@
                         () -> {
                             peer.install(List.of(object));
                             MemberIdentity confirming = peer.identity;
-                            boolean settled = peer.freshness.isSettled();
+                            boolean settled = peer.freshness.isCaughtUp();
                             send(
                                     peer,
                                     this,
@@ -424,7 +424,7 @@
             ExclusiveClaim claim = shares.claim(GROUP);
             boolean gone =
                     claim.holder()
-                            .filter(holder -> !freshness.isGone(holder, clock(), 1_500 * MILLI))
+                            .filter(holder -> !freshness.isDead(holder, clock(), 1_500 * MILLI))
                             .isEmpty();
             boolean unconfirmed = claim.heldBySelf() && claim.usableFrom().isEmpty();
             if (taking || !platformReachable || !freshness.isFresh(clock())) {
--- a/core/src/test/java/org/bronzelug/core/membership/FreshnessTest.java
+++ b/core/src/test/java/org/bronzelug/core/membership/FreshnessTest.java
@@ -37,10 +37,10 @@
     @Test
     void oneSettledPeerOfThreeIsNotEnoughForAVmThatForgot() {
         freshness.recordReport(report(second, true), START + 1);
-        assertThat(freshness.isSettled()).isFalse();
+        assertThat(freshness.isCaughtUp()).isFalse();
         assertThat(freshness.isFresh(START + 2)).isFalse();
         freshness.recordReport(report(third, true), START + 3);
-        assertThat(freshness.isSettled()).isTrue();
+        assertThat(freshness.isCaughtUp()).isTrue();
         assertThat(freshness.isFresh(START + 4)).isTrue();
     }
 
@@ -48,8 +48,8 @@
     void aPeerThatForgotVouchesForNothing() {
         freshness.recordReport(report(second, false), START + 1);
         freshness.recordReport(report(third, false), START + 1);
-        assertThat(freshness.isSettled()).isFalse();
-        assertThat(freshness.heardWithin("vm-2", START + 2, 10)).isTrue();
+        assertThat(freshness.isCaughtUp()).isFalse();
+        assertThat(freshness.seenWithin("vm-2", START + 2, 10)).isTrue();
     }
 
     /**
@@ -59,20 +59,20 @@
     @Test
     void aVmThatHasJustStartedTakesNobodyForGone() {
         freshness.recordReport(report(third, true), START + 1);
-        assertThat(freshness.isGone(second, START + 100, 1_500)).isFalse();
+        assertThat(freshness.isDead(second, START + 100, 1_500)).isFalse();
         freshness.recordReport(report(third, true), START + 1_400);
-        assertThat(freshness.isGone(second, START + 1_500, 1_500)).isTrue();
+        assertThat(freshness.isDead(second, START + 1_500, 1_500)).isTrue();
     }
 
     @Test
     void aVmThatHearsNobodyTakesNobodyForGone() {
-        assertThat(freshness.isGone(second, START + 60_000, 1_500)).isFalse();
+        assertThat(freshness.isDead(second, START + 60_000, 1_500)).isFalse();
     }
 
     @Test
     void aReplacedIncarnationIsGoneThoughItsVmIsHeard() {
         freshness.recordReport(report(new MemberIdentity("vm-2", "new"), true), START + 1_500);
-        assertThat(freshness.isGone(second, START + 1_600, 1_500)).isTrue();
+        assertThat(freshness.isDead(second, START + 1_600, 1_500)).isTrue();
     }
 
     /**
@@ -82,9 +82,9 @@
     @Test
     void onesOwnFormerIncarnationIsGone() {
         freshness.recordReport(report(second, true), START + 1_500);
-        assertThat(freshness.isGone(new MemberIdentity("vm-1", "old"), START + 1_600, 1_500))
+        assertThat(freshness.isDead(new MemberIdentity("vm-1", "old"), START + 1_600, 1_500))
                 .isTrue();
-        assertThat(freshness.isGone(self, START + 1_600, 1_500)).isFalse();
+        assertThat(freshness.isDead(self, START + 1_600, 1_500)).isFalse();
     }
 
     @Test
@@ -95,7 +95,7 @@
         freshness.recordReport(
                 new ProbeReport(second, true, false, OptionalLong.of(900), List.of(age)),
                 START + 1_000);
-        assertThat(freshness.member("vm-3").orElseThrow().coveredAsOfNanos())
+        assertThat(freshness.member("vm-3").orElseThrow().syncedAsOfNanos())
                 .isEqualTo(OptionalLong.of(START + 500));
         assertThat(freshness.platformAgeNanos(START + 1_000)).isEqualTo(OptionalLong.of(900));
         assertThat(freshness.freshAsOf(START + 1_000)).isEqualTo(OptionalLong.of(START + 1_000));
--- a/core/src/test/java/org/bronzelug/core/membership/PackedAgesTest.java
+++ b/core/src/test/java/org/bronzelug/core/membership/PackedAgesTest.java
@@ -23,7 +23,7 @@
     private static final long LIMIT = 2_000 * MILLI;
 
     /** The roll of some VMs, and what one of them knows of the others. */
-    private record Drawn(MemberRoll roll, List<ProbeReport.MemberAge> members) {}
+    private record Drawn(MemberIndex roll, List<ProbeReport.MemberAge> members) {}
 
     private static Drawn draw(Random random) {
         List<MemberIdentity> identities = new ArrayList<>();
@@ -45,7 +45,7 @@
                                 identity, heard, covered, random.nextInt(9) == 0));
             }
         }
-        return new Drawn(MemberRoll.of(identities), members);
+        return new Drawn(MemberIndex.of(identities), members);
     }
 
     private static List<ProbeReport.MemberAge> thereAndBack(Drawn drawn) {
@@ -63,11 +63,11 @@
         for (ProbeReport.MemberAge claim : thereAndBack(drawn)) {
             ProbeReport.MemberAge known = sent.get(claim.identity());
             assertThat(known).isNotNull();
-            assertThat(claim.heardAgeNanos()).isAtLeast(known.heardAgeNanos());
+            assertThat(claim.lastSeenAgeNanos()).isAtLeast(known.lastSeenAgeNanos());
             assertThat(claim.draining()).isEqualTo(known.draining());
-            if (claim.coveredAgeNanos().isPresent()) {
-                assertThat(claim.coveredAgeNanos().getAsLong())
-                        .isAtLeast(known.coveredAgeNanos().orElseThrow());
+            if (claim.syncedAgeNanos().isPresent()) {
+                assertThat(claim.syncedAgeNanos().getAsLong())
+                        .isAtLeast(known.syncedAgeNanos().orElseThrow());
             }
         }
     }
@@ -78,14 +78,14 @@
         Map<MemberIdentity, ProbeReport.MemberAge> received = new HashMap<>();
         thereAndBack(drawn).forEach(member -> received.put(member.identity(), member));
         for (ProbeReport.MemberAge member : drawn.members) {
-            if (member.heardAgeNanos() > LIMIT) {
+            if (member.lastSeenAgeNanos() > LIMIT) {
                 continue;
             }
             ProbeReport.MemberAge claim = received.get(member.identity());
             assertThat(claim).isNotNull();
-            assertThat(claim.heardAgeNanos() - member.heardAgeNanos()).isAtMost(60 * MILLI);
-            assertThat(claim.coveredAgeNanos().isPresent())
-                    .isEqualTo(member.coveredAgeNanos().isPresent());
+            assertThat(claim.lastSeenAgeNanos() - member.lastSeenAgeNanos()).isAtMost(60 * MILLI);
+            assertThat(claim.syncedAgeNanos().isPresent())
+                    .isEqualTo(member.syncedAgeNanos().isPresent());
         }
     }
 
@@ -94,13 +94,13 @@
     void anotherIncarnationMakesAnotherRoll() {
         MemberIdentity before = new MemberIdentity("vm-1", "a");
         MemberIdentity after = new MemberIdentity("vm-1", "b");
-        assertThat(MemberRoll.of(List.of(before)).digest())
-                .isNotEqualTo(MemberRoll.of(List.of(after)).digest());
+        assertThat(MemberIndex.of(List.of(before)).digest())
+                .isNotEqualTo(MemberIndex.of(List.of(after)).digest());
     }
 
     @Test
     void bytesOfAnotherLengthSayNothing() {
-        MemberRoll roll = MemberRoll.of(List.of(new MemberIdentity("vm-1", "a")));
+        MemberIndex roll = MemberIndex.of(List.of(new MemberIdentity("vm-1", "a")));
         assertThat(PackedAges.unpack(roll, new byte[] {1, 2})).isEmpty();
     }
 }
--- a/core/src/test/java/org/bronzelug/core/placement/CacheBeliefTest.java
+++ b/core/src/test/java/org/bronzelug/core/placement/CacheEstimateTest.java
@@ -19,52 +19,53 @@
  * hit was promised. The order: blocks are cached, then the engine crashes and comes back empty, or
  * the weights change, or another team sends the same text. Why: the text alone names the prefix.
  */
-class CacheBeliefTest {
+class CacheEstimateTest {
     private static final List<String> TEXT = List.of("rules ".repeat(50), "sheet ".repeat(50), "q");
     private static final long LIFETIME = 1_000;
 
-    private final CacheBelief belief = new CacheBelief(100, LIFETIME, 0);
+    private final CacheEstimate cacheEstimate = new CacheEstimate(100, LIFETIME, 0);
     private final PrefixChain chain = PrefixChain.of("team", "model", 1, TEXT);
 
     @Test
     void findsWhatItsOwnIncarnationCached() {
-        belief.recordCached("runner", "a", chain, 0);
-        assertThat(belief.cachedTokens("runner", "a", chain, 10)).isEqualTo(chain.tokens());
+        cacheEstimate.recordCached("runner", "a", chain, 0);
+        assertThat(cacheEstimate.cachedTokens("runner", "a", chain, 10)).isEqualTo(chain.tokens());
     }
 
     @Test
     void findsNothingOfADeadIncarnation() {
-        belief.recordCached("runner", "a", chain, 0);
-        assertThat(belief.cachedTokens("runner", "b", chain, 10)).isEqualTo(0);
-        belief.recordCached("runner", "b", PrefixChain.of("team", "model", 1, List.of("x")), 10);
-        assertThat(belief.cachedTokens("runner", "b", chain, 10)).isEqualTo(0);
+        cacheEstimate.recordCached("runner", "a", chain, 0);
+        assertThat(cacheEstimate.cachedTokens("runner", "b", chain, 10)).isEqualTo(0);
+        cacheEstimate.recordCached(
+                "runner", "b", PrefixChain.of("team", "model", 1, List.of("x")), 10);
+        assertThat(cacheEstimate.cachedTokens("runner", "b", chain, 10)).isEqualTo(0);
     }
 
     @Test
     void findsNothingOfAnotherTeamOrOtherWeights() {
-        belief.recordCached("runner", "a", chain, 0);
+        cacheEstimate.recordCached("runner", "a", chain, 0);
         for (PrefixChain other :
                 List.of(
                         PrefixChain.of("other", "model", 1, TEXT),
                         PrefixChain.of("team", "other", 1, TEXT),
                         PrefixChain.of("team", "model", 2, TEXT))) {
-            assertThat(belief.cachedTokens("runner", "a", other, 10)).isEqualTo(0);
+            assertThat(cacheEstimate.cachedTokens("runner", "a", other, 10)).isEqualTo(0);
             assertThat(other.salt()).isNotEqualTo(chain.salt());
         }
     }
 
     @Test
     void believesNoLongerThanItsLifetime() {
-        belief.recordCached("runner", "a", chain, 0);
-        assertThat(belief.cachedTokens("runner", "a", chain, LIFETIME + 1)).isEqualTo(0);
+        cacheEstimate.recordCached("runner", "a", chain, 0);
+        assertThat(cacheEstimate.cachedTokens("runner", "a", chain, LIFETIME + 1)).isEqualTo(0);
     }
 
     @Test
     void learnsWhatTheRunnerReallyFound() {
-        belief.recordCached("runner", "a", chain, 0);
+        cacheEstimate.recordCached("runner", "a", chain, 0);
         int root = chain.root().tokens();
-        belief.recordFound("runner", "a", chain, root);
-        assertThat(belief.cachedTokens("runner", "a", chain, 10)).isEqualTo(root);
+        cacheEstimate.recordFound("runner", "a", chain, root);
+        assertThat(cacheEstimate.cachedTokens("runner", "a", chain, 10)).isEqualTo(root);
     }
 
     /** Names of team and model can't be shifted into each other to meet the same salt. */
@@ -89,12 +90,12 @@
         List<RunnerLoad> runners =
                 List.of(load("r1", 0), load("r2", 0), load("r3", 0), load("r4", 0));
         Optional<Placement> one =
-                policy.choose(asked, runners, new CacheBelief(10, LIFETIME, 0), 0);
+                policy.choose(asked, runners, new CacheEstimate(10, LIFETIME, 0), 0);
         Optional<Placement> other =
                 policy.choose(
                         PrefixChain.of("team", "model", 1, List.of("rules " + prompt, "another")),
                         runners.reversed(),
-                        new CacheBelief(10, LIFETIME, 0),
+                        new CacheEstimate(10, LIFETIME, 0),
                         99);
         assertThat(one.map(Placement::runner)).isEqualTo(other.map(Placement::runner));
     }
@@ -102,13 +103,13 @@
     @Test
     void aLongQueueOutweighsACachedPrefix() {
         PlacementPolicy policy = new PlacementPolicy(PlacementSettings.defaults());
-        belief.recordCached("r1", "i", chain, 0);
+        cacheEstimate.recordCached("r1", "i", chain, 0);
         assertThat(choose(policy, load("r1", 0), load("r2", 0))).isEqualTo("r1");
         assertThat(choose(policy, load("r1", 5_000), load("r2", 0))).isEqualTo("r2");
     }
 
     private String choose(PlacementPolicy policy, RunnerLoad... runners) {
-        return policy.choose(chain, List.of(runners), belief, 10).orElseThrow().runner();
+        return policy.choose(chain, List.of(runners), cacheEstimate, 10).orElseThrow().runner();
     }
 
     private static RunnerLoad load(String name, double queued) {
--- a/core/src/test/java/org/bronzelug/core/placement/LimitedRunnersReplayTest.java
+++ b/core/src/test/java/org/bronzelug/core/placement/LimitedRunnersReplayTest.java
@@ -13,8 +13,8 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.stream.IntStream;
+import org.bronzelug.core.limit.AdvertisedLimit;
 import org.bronzelug.core.limit.EndpointLimit;
-import org.bronzelug.core.limit.NamedLimit;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -94,7 +94,7 @@
         private final boolean largerFirst;
         private final Random random;
         private final List<Runner> runners = new ArrayList<>();
-        private final CacheBelief belief = new CacheBelief(256, 20_000 * MILLI, 0);
+        private final CacheEstimate cacheEstimate = new CacheEstimate(256, 20_000 * MILLI, 0);
         private final PriorityQueue<Arrival> returning =
                 new PriorityQueue<>((left, right) -> Long.compare(left.nanos(), right.nanos()));
         private final PlacementPolicy policy =
@@ -110,7 +110,9 @@
             for (int index = 0; index < RUNNERS; index++) {
                 runners.add(new Runner());
                 if (index < LIMITED) {
-                    runners.get(index).limit.observe(new NamedLimit.Rate(LIMIT_PER_SECOND), 1, 1);
+                    runners.get(index)
+                            .limit
+                            .observe(new AdvertisedLimit.Rate(LIMIT_PER_SECOND), 1, 1);
                 }
             }
         }
@@ -160,7 +162,7 @@
                 boolean taken =
                         runners.get(index)
                                 .limit
-                                .tryTake(
+                                .tryAcquire(
                                         arrival.chain().tokens(),
                                         largerFirst,
                                         random.nextDouble(),
@@ -180,7 +182,7 @@
                             .mapToObj(index -> load(index, arrival.nanos()))
                             .toList();
             Optional<Placement> best =
-                    policy.choose(arrival.chain(), loads, belief, arrival.nanos());
+                    policy.choose(arrival.chain(), loads, cacheEstimate, arrival.nanos());
             return Integer.parseInt(best.orElseThrow().runner());
         }
 
@@ -213,7 +215,8 @@
 
         private void serve(Arrival arrival, int index) {
             long firstToken = runners.get(index).read(arrival.chain(), arrival.nanos());
-            belief.recordCached(String.valueOf(index), "first", arrival.chain(), arrival.nanos());
+            cacheEstimate.recordCached(
+                    String.valueOf(index), "first", arrival.chain(), arrival.nanos());
             long goalMillis = arrival.isLong() ? LONG_GOAL_MILLIS : SHORT_GOAL_MILLIS;
             Outcome outcome = arrival.isLong() ? longOnes : shortOnes;
             if (firstToken - arrival.firstNanos() <= goalMillis * MILLI) {
--- a/core/src/test/java/org/bronzelug/core/retry/RetryBudgetTest.java
+++ b/core/src/test/java/org/bronzelug/core/retry/RetryBudgetTest.java
@@ -33,7 +33,7 @@
             for (int request = 0; request < arriving; request++) {
                 budget.recordFirst(nowNanos);
                 firsts.add(nowNanos);
-                if (budget.tryRepeat(RepeatKind.REQUIRED, 0.2, slack, nowNanos)) {
+                if (budget.tryRetry(RetryKind.REQUIRED, 0.2, slack, nowNanos)) {
                     repeats.add(nowNanos);
                 }
             }
@@ -54,7 +54,7 @@
             budget.recordFirst(0);
         }
         int granted = 0;
-        while (budget.tryRepeat(RepeatKind.REQUIRED, ratio, slack, 1)) {
+        while (budget.tryRetry(RetryKind.REQUIRED, ratio, slack, 1)) {
             granted++;
         }
         assertThat(granted).isEqualTo(expected);
@@ -72,11 +72,11 @@
             budget.recordFirst(0);
         }
         int moved = 0;
-        while (budget.tryRepeat(RepeatKind.BY_CHOICE, 0.2, slack, 1)) {
+        while (budget.tryRetry(RetryKind.BY_CHOICE, 0.2, slack, 1)) {
             moved++;
         }
         int repeated = 0;
-        while (budget.tryRepeat(RepeatKind.REQUIRED, 0.2, slack, 1)) {
+        while (budget.tryRetry(RetryKind.REQUIRED, 0.2, slack, 1)) {
             repeated++;
         }
         assertThat(repeated).isAtLeast(moved);
@@ -87,11 +87,11 @@
     @CsvSource({"1", "2", "50"})
     void grantsAgainOnceTheWindowHasPassed(int windows) {
         RetryBudget budget = new RetryBudget(WINDOW_NANOS);
-        assertThat(budget.tryRepeat(RepeatKind.REQUIRED, 0, 1, 0)).isTrue();
-        assertThat(budget.tryRepeat(RepeatKind.REQUIRED, 0, 1, WINDOW_NANOS / 2)).isFalse();
+        assertThat(budget.tryRetry(RetryKind.REQUIRED, 0, 1, 0)).isTrue();
+        assertThat(budget.tryRetry(RetryKind.REQUIRED, 0, 1, WINDOW_NANOS / 2)).isFalse();
         assertThat(
-                        budget.tryRepeat(
-                                RepeatKind.REQUIRED,
+                        budget.tryRetry(
+                                RetryKind.REQUIRED,
                                 0,
                                 1,
                                 windows * WINDOW_NANOS + WINDOW_NANOS / 8))
--- a/daemon/src/main/java/org/bronzelug/daemon/DaemonComponent.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/DaemonComponent.java
@@ -3,10 +3,10 @@
 import dagger.Component;
 import javax.inject.Singleton;
 import org.bronzelug.daemon.caller.CallerServer;
-import org.bronzelug.daemon.claim.HeirService;
 import org.bronzelug.daemon.claim.OrderKeeper;
 import org.bronzelug.daemon.claim.RosterKeeper;
 import org.bronzelug.daemon.claim.ShareKeeper;
+import org.bronzelug.daemon.claim.SuccessorService;
 import org.bronzelug.daemon.control.ControlState;
 import org.bronzelug.daemon.control.ControlThread;
 import org.bronzelug.daemon.control.PlatformWatch;
@@ -33,7 +33,7 @@
 
     CallerServer callerServer();
 
-    HeirService heirService();
+    SuccessorService heirService();
 
     RosterKeeper rosterKeeper();
 
--- a/daemon/src/main/java/org/bronzelug/daemon/Drain.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/Drain.java
@@ -119,7 +119,7 @@
             boolean last = end == records.size();
             Envelope.Builder message =
                     HandOverMessages.toMessage(
-                            actions.tenures(),
+                            actions.ownershipPeriods(),
                             records.subList(sent, end),
                             last ? Optional.of(released) : Optional.empty());
             if (!exchange(address, message)) {
--- a/daemon/src/main/java/org/bronzelug/daemon/action/ActionBook.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/action/ActionBook.java
@@ -13,7 +13,7 @@
 import org.bronzelug.core.action.ActionLedger;
 import org.bronzelug.core.action.ActionOutcome;
 import org.bronzelug.core.action.ActionRecord;
-import org.bronzelug.core.action.Tenure;
+import org.bronzelug.core.action.OwnershipPeriod;
 import org.bronzelug.core.membership.MemberIdentity;
 
 /** The action ledger, shared by the traffic threads under one lock. Thread-safe. */
@@ -69,23 +69,23 @@
     /** Begins no further call, and returns all records for the heir. */
     public synchronized List<ActionRecord> closeAndHandOver() {
         ledger.close();
-        return ledger.recordsToHandOver();
+        return ledger.recordsForSuccessor();
     }
 
     /** Takes over records of VMs that stop: see {@link ActionLedger#adopt}. */
     public synchronized void adopt(
-            Collection<Tenure> from, List<ActionRecord> records, boolean complete) {
+            Collection<OwnershipPeriod> from, List<ActionRecord> records, boolean complete) {
         ledger.adopt(from, records, complete, System.nanoTime());
     }
 
     /** The incarnations that this VM answers for, its own first. */
-    public synchronized List<Tenure> tenures() {
-        return ledger.tenures(System.nanoTime());
+    public synchronized List<OwnershipPeriod> ownershipPeriods() {
+        return ledger.ownershipPeriods(System.nanoTime());
     }
 
     /** The incarnations that this VM answers for, besides its own. */
     public List<MemberIdentity> inheritedFrom() {
-        return tenures().stream().skip(1).map(Tenure::identity).toList();
+        return ownershipPeriods().stream().skip(1).map(OwnershipPeriod::identity).toList();
     }
 
     public synchronized int size() {
--- a/daemon/src/main/java/org/bronzelug/daemon/action/ActionService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/action/ActionService.java
@@ -29,8 +29,8 @@
 import org.bronzelug.core.drain.DrainGate;
 import org.bronzelug.daemon.control.ControlState;
 import org.bronzelug.daemon.generate.ProblemCode;
-import org.bronzelug.daemon.generate.RefusalException;
-import org.bronzelug.daemon.monitor.Measures;
+import org.bronzelug.daemon.generate.RejectionException;
+import org.bronzelug.daemon.monitor.DaemonMetrics;
 import org.bronzelug.daemon.peer.PeerNetwork;
 import org.bronzelug.daemon.runner.Endpoint;
 import org.bronzelug.daemon.runner.EndpointDirectory;
@@ -59,7 +59,7 @@
     private final RunnerClient client;
     private final PeerNetwork peers;
     private final DrainGate gate;
-    private final Measures measures;
+    private final DaemonMetrics measures;
     private final ExecutorService traffic = Executors.newVirtualThreadPerTaskExecutor();
 
     @Inject
@@ -71,7 +71,7 @@
             RunnerClient client,
             PeerNetwork peers,
             DrainGate gate,
-            Measures measures) {
+            DaemonMetrics measures) {
         this.settings = settings;
         this.state = state;
         this.book = book;
@@ -85,7 +85,7 @@
 
     /** Runs a call of a team whose key was checked. */
     public RunActionAnswer run(String team, RunActionRequest request)
-            throws RefusalException, InterruptedException {
+            throws RejectionException, InterruptedException {
         PoolObject pool = pool(request.getPool());
         if (request.getIdempotent()) {
             return runIdempotent(pool, request);
@@ -94,7 +94,7 @@
                 ActionId.parse(request.getActionId())
                         .orElseThrow(
                                 () ->
-                                        RefusalException.notRun(
+                                        RejectionException.notRun(
                                                 ProblemCode.BAD_REQUEST,
                                                 "met action_id \""
                                                         + request.getActionId()
@@ -109,10 +109,10 @@
         return answer;
     }
 
-    private PoolObject pool(String name) throws RefusalException {
+    private PoolObject pool(String name) throws RejectionException {
         Optional<PoolObject> pool = state.view().catalog().pool(name);
         if (pool.isEmpty()) {
-            throw RefusalException.notRun(
+            throw RejectionException.notRun(
                     ProblemCode.UNKNOWN_POOL,
                     "no pool \"" + name + "\"",
                     "name a pool that `bronzelug status` shows",
@@ -129,9 +129,9 @@
             case ActionDecision.Await await -> await(id, request);
             case ActionDecision.Repeat repeat -> ran(repeat.answer(), true);
             case ActionDecision.StayInDoubt doubt -> inDoubt(doubt.reason(), 0);
-            case ActionDecision.RefuseNotRun refused -> notRun(refused.reason());
-            case ActionDecision.RefuseMismatch mismatch -> mismatch();
-            case ActionDecision.SendToHome forward -> forward(team, id, request);
+            case ActionDecision.RejectNotRun refused -> notRun(refused.reason());
+            case ActionDecision.RejectMismatch mismatch -> mismatch();
+            case ActionDecision.ForwardToOwner forward -> forward(team, id, request);
         };
     }
 
@@ -184,7 +184,7 @@
     }
 
     private RunActionAnswer runIdempotent(PoolObject pool, RunActionRequest request)
-            throws RefusalException {
+            throws RejectionException {
         long end = deadline(request);
         String reason = "no usable endpoint";
         for (int attempt = 0; attempt < IDEMPOTENT_ATTEMPTS; attempt++) {
@@ -197,7 +197,7 @@
                 }
             }
         }
-        throw RefusalException.notRun(
+        throw RejectionException.notRun(
                 ProblemCode.NO_ENDPOINT,
                 "no endpoint of pool " + pool.getPool() + " answered: " + reason,
                 "come back later",
@@ -283,7 +283,7 @@
                     id.isPresent()
                             ? runOnce(forward.getTeam(), id.get(), pool(request.getPool()), request)
                             : notRun("the id is malformed");
-        } catch (RefusalException refused) {
+        } catch (RejectionException refused) {
             answer =
                     RunActionAnswer.newBuilder()
                             .setExecution(refused.problem().getExecution())
--- a/daemon/src/main/java/org/bronzelug/daemon/action/HandOverMessages.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/action/HandOverMessages.java
@@ -10,7 +10,7 @@
 import org.bronzelug.core.action.ActionId;
 import org.bronzelug.core.action.ActionOutcome;
 import org.bronzelug.core.action.ActionRecord;
-import org.bronzelug.core.action.Tenure;
+import org.bronzelug.core.action.OwnershipPeriod;
 import org.bronzelug.core.membership.MemberIdentity;
 import org.bronzelug.daemon.claim.ReleasedShare;
 
@@ -25,7 +25,7 @@
      * @param shares the released ones; present in the last part only, which completes it
      */
     public static Envelope.Builder toMessage(
-            List<Tenure> formers,
+            List<OwnershipPeriod> formers,
             List<ActionRecord> records,
             Optional<List<ReleasedShare>> shares) {
         HandOver.Builder message = HandOver.newBuilder().setComplete(shares.isPresent());
@@ -36,7 +36,7 @@
         return Envelope.newBuilder().setHandOver(message);
     }
 
-    private static Former toMessage(Tenure former) {
+    private static Former toMessage(OwnershipPeriod former) {
         return Former.newBuilder()
                 .setVm(former.identity().vm())
                 .setIncarnation(former.identity().incarnation())
@@ -45,11 +45,11 @@
     }
 
     /** The VM that stops, and those that it was itself the heir of. */
-    public static List<Tenure> formers(HandOver message) {
-        List<Tenure> formers = new ArrayList<>();
+    public static List<OwnershipPeriod> formers(HandOver message) {
+        List<OwnershipPeriod> formers = new ArrayList<>();
         for (Former former : message.getFormersList()) {
             MemberIdentity identity = new MemberIdentity(former.getVm(), former.getIncarnation());
-            formers.add(new Tenure(identity, former.getPeriod()));
+            formers.add(new OwnershipPeriod(identity, former.getPeriod()));
         }
         return formers;
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/caller/CallerKeys.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/caller/CallerKeys.java
@@ -10,7 +10,7 @@
 import org.bronzelug.daemon.control.ControlState;
 import org.bronzelug.daemon.control.ControlView;
 import org.bronzelug.daemon.generate.ProblemCode;
-import org.bronzelug.daemon.generate.RefusalException;
+import org.bronzelug.daemon.generate.RejectionException;
 
 /**
  * Which team a key belongs to, now.
@@ -35,10 +35,10 @@
     }
 
     /** The team of a key. */
-    public String teamOf(KeyDigest key) throws RefusalException {
+    public String teamOf(KeyDigest key) throws RejectionException {
         ControlView view = state.view();
         if (!view.isFresh(System.nanoTime())) {
-            throw RefusalException.notRun(
+            throw RejectionException.notRun(
                     ProblemCode.NOT_FRESH,
                     "this VM has had no word of the configuration for too long",
                     "use another VM; this one comes back by itself",
@@ -46,7 +46,7 @@
         }
         Optional<String> team = view.catalog().teamOf(key);
         if (team.isEmpty()) {
-            throw RefusalException.notRun(
+            throw RejectionException.notRun(
                     ProblemCode.KEY_REFUSED,
                     "the key is unknown or withdrawn",
                     "ask the operators for a key",
--- a/daemon/src/main/java/org/bronzelug/daemon/caller/RouterCalls.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/caller/RouterCalls.java
@@ -25,7 +25,7 @@
 import org.bronzelug.daemon.action.ActionService;
 import org.bronzelug.daemon.generate.GenerateService;
 import org.bronzelug.daemon.generate.GenerationResult;
-import org.bronzelug.daemon.generate.RefusalException;
+import org.bronzelug.daemon.generate.RejectionException;
 import org.bronzelug.daemon.settings.Settings;
 import org.bronzelug.log.EventLog;
 import org.bronzelug.log.LogEvent;
@@ -81,7 +81,7 @@
             }
             observer.onNext(answer.build());
             observer.onCompleted();
-        } catch (RefusalException refused) {
+        } catch (RejectionException refused) {
             observer.onError(Problems.toStatus(refused.problem()));
         }
     }
@@ -122,7 +122,7 @@
                             .setAttempts(result.attempts())
                             .build();
             return GenerateEvent.newBuilder().setFinished(finished).build();
-        } catch (RefusalException refused) {
+        } catch (RejectionException refused) {
             return event(refused.problem());
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
@@ -162,7 +162,7 @@
     private RunActionAnswer runAction(KeyDigest key, RunActionRequest request) {
         try {
             return actionService.run(keys.teamOf(key), request);
-        } catch (RefusalException refused) {
+        } catch (RejectionException refused) {
             return answer(refused.problem());
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
@@ -187,7 +187,7 @@
             String team = keys.teamOf(CallerKeys.PRESENT.get());
             boolean found = generations.cancel(team, request.getRequestId());
             finish(observer, CancelAnswer.newBuilder().setFound(found).build());
-        } catch (RefusalException refused) {
+        } catch (RejectionException refused) {
             observer.onError(Problems.toStatus(refused.problem()));
         }
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/ClaimTaker.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/ClaimAcquirer.java
@@ -19,14 +19,14 @@
  * <p>Blocking; called on threads of their own, one at a time for each claim. Thread-safe.
  */
 @Singleton
-final class ClaimTaker {
+final class ClaimAcquirer {
     private final ControlThread control;
     private final ControlState state;
     private final ObjectWriter writer;
     private final Announcer announcer;
 
     @Inject
-    ClaimTaker(
+    ClaimAcquirer(
             ControlThread control, ControlState state, ObjectWriter writer, Announcer announcer) {
         this.control = control;
         this.state = state;
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/OrderKeeper.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/OrderKeeper.java
@@ -45,7 +45,7 @@
     private final ControlThread control;
     private final ControlState state;
     private final PlatformWatch watch;
-    private final ClaimTaker taker;
+    private final ClaimAcquirer taker;
     private final EndpointDirectory directory;
     private final RunnerClient client;
     private final Map<String, ExclusiveClaim> claims = new HashMap<>();
@@ -57,7 +57,7 @@
             ControlThread control,
             ControlState state,
             PlatformWatch watch,
-            ClaimTaker taker,
+            ClaimAcquirer taker,
             EndpointDirectory directory,
             RunnerClient client) {
         this.control = control;
@@ -95,7 +95,7 @@
             giveOrders(pool, claim.version());
             return;
         }
-        boolean unheld = present.filter(held -> !state.isGone(held.holder(), now)).isEmpty();
+        boolean unheld = present.filter(held -> !state.isDead(held.holder(), now)).isEmpty();
         boolean first = state.isFirstChoice(ObjectKeys.order(pool.getPool()), now);
         boolean take = claim.isUnconfirmed() || unheld && first && watch.isReachable();
         if (take && state.freshness().isFresh(now) && busy.add(pool.getPool())) {
@@ -166,7 +166,7 @@
                         .build();
         try {
             taker.take(
-                    new ClaimTaker.Attempt(
+                    new ClaimAcquirer.Attempt(
                             ObjectKeys.order(pool),
                             present,
                             order.toByteArray(),
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/ShareKeeper.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/ShareKeeper.java
@@ -40,12 +40,12 @@
     private final ControlThread control;
     private final ControlState state;
     private final PlatformWatch watch;
-    private final ClaimTaker taker;
+    private final ClaimAcquirer taker;
     private final Set<Integer> busy = ConcurrentHashMap.newKeySet();
 
     @Inject
     public ShareKeeper(
-            ControlThread control, ControlState state, PlatformWatch watch, ClaimTaker taker) {
+            ControlThread control, ControlState state, PlatformWatch watch, ClaimAcquirer taker) {
         this.control = control;
         this.state = state;
         this.watch = watch;
@@ -85,7 +85,7 @@
 
     private boolean shouldTake(int group, long now) {
         Optional<Catalog.Claim> present = state.catalog().share(group);
-        boolean held = present.filter(claim -> !state.isGone(claim.holder(), now)).isPresent();
+        boolean held = present.filter(claim -> !state.isDead(claim.holder(), now)).isPresent();
         return held
                 ? state.shares().claim(group).isUnconfirmed()
                 : state.isFirstChoice(ObjectKeys.share(group), now);
@@ -102,7 +102,7 @@
                         .build();
         try {
             taker.take(
-                    new ClaimTaker.Attempt(
+                    new ClaimAcquirer.Attempt(
                             ObjectKeys.share(group),
                             present,
                             share.toByteArray(),
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/HeirService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/SuccessorService.java
@@ -8,7 +8,7 @@
 import org.bronzelug.api.peer.Envelope;
 import org.bronzelug.api.peer.HandOver;
 import org.bronzelug.api.peer.ShareLevels;
-import org.bronzelug.core.action.Tenure;
+import org.bronzelug.core.action.OwnershipPeriod;
 import org.bronzelug.core.membership.MemberIdentity;
 import org.bronzelug.daemon.action.ActionBook;
 import org.bronzelug.daemon.action.HandOverMessages;
@@ -24,13 +24,13 @@
  * Thread-safe.
  */
 @Singleton
-public final class HeirService {
+public final class SuccessorService {
     private final ControlThread control;
     private final ControlState state;
     private final ActionBook actions;
 
     @Inject
-    public HeirService(
+    public SuccessorService(
             ControlThread control, ControlState state, ActionBook actions, PeerNetwork peers) {
         this.control = control;
         this.state = state;
@@ -42,7 +42,7 @@
         HandOver message = envelope.getHandOver();
         return control.ask(
                 () -> {
-                    List<Tenure> formers = HandOverMessages.formers(message);
+                    List<OwnershipPeriod> formers = HandOverMessages.formers(message);
                     actions.adopt(
                             formers, HandOverMessages.records(message), message.getComplete());
                     formers.forEach(former -> state.inherit(former.identity()));
--- a/daemon/src/main/java/org/bronzelug/daemon/control/Announcer.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/Announcer.java
@@ -61,7 +61,7 @@
 
     private Announcement begin(List<VersionedObject> objects) {
         state.install(objects);
-        return new Announcement(state.freshness().majority(), state.freshness().isSettled());
+        return new Announcement(state.freshness().majority(), state.freshness().isCaughtUp());
     }
 
     /** Takes one VM's confirmation. */
--- a/daemon/src/main/java/org/bronzelug/daemon/control/ControlState.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/ControlState.java
@@ -18,7 +18,7 @@
 import org.bronzelug.core.limit.RateShares;
 import org.bronzelug.core.membership.Freshness;
 import org.bronzelug.core.membership.MemberIdentity;
-import org.bronzelug.core.membership.MemberKnowledge;
+import org.bronzelug.core.membership.MemberStatus;
 import org.bronzelug.core.membership.ProbeReport;
 import org.bronzelug.core.membership.ProbeTargets;
 import org.bronzelug.core.membership.Rendezvous;
@@ -149,12 +149,12 @@
     }
 
     /** Whether the incarnation given answers no more, and has no heir that does. */
-    public boolean isGone(MemberIdentity identity, long nowNanos) {
+    public boolean isDead(MemberIdentity identity, long nowNanos) {
         String heir = heirs.get(identity);
-        if (heir != null && freshness.heardWithin(heir, nowNanos, DEAD_AFTER_NANOS)) {
+        if (heir != null && freshness.seenWithin(heir, nowNanos, DEAD_AFTER_NANOS)) {
             return false;
         }
-        return freshness.isGone(identity, nowNanos, DEAD_AFTER_NANOS);
+        return freshness.isDead(identity, nowNanos, DEAD_AFTER_NANOS);
     }
 
     /** The VMs, this one included, that live and are not about to stop. */
@@ -164,8 +164,8 @@
             boolean leaving =
                     vm.equals(self.vm())
                             ? draining
-                            : freshness.member(vm).filter(MemberKnowledge::draining).isPresent();
-            if (!leaving && freshness.heardWithin(vm, nowNanos, DEAD_AFTER_NANOS)) {
+                            : freshness.member(vm).filter(MemberStatus::draining).isPresent();
+            if (!leaving && freshness.seenWithin(vm, nowNanos, DEAD_AFTER_NANOS)) {
                 available.add(vm);
             }
         }
@@ -186,7 +186,7 @@
                 peers.put(entry.getVm(), peerView(entry, now));
             }
         }
-        boolean single = freshness.isSettled() && freshness.roster().equals(Set.of(self.vm()));
+        boolean single = freshness.isCaughtUp() && freshness.roster().equals(Set.of(self.vm()));
         OptionalLong asOf = freshness.freshAsOf(now);
         view =
                 new ControlView(
@@ -222,15 +222,15 @@
     }
 
     private ControlView.PeerView peerView(RosterEntry entry, long now) {
-        Optional<MemberKnowledge> known = freshness.member(entry.getVm());
+        Optional<MemberStatus> known = freshness.member(entry.getVm());
         return new ControlView.PeerView(
-                known.map(MemberKnowledge::identity),
+                known.map(MemberStatus::identity),
                 entry.getAvailabilityZone(),
                 entry.getCallerAddress(),
                 entry.getPeerAddress(),
-                known.map(MemberKnowledge::heardAsOfNanos)
+                known.map(MemberStatus::lastSeenNanos)
                         .orElse(now - 2 * ProbeTargets.REMEMBERED_NANOS),
-                freshness.heardWithin(entry.getVm(), now, DEAD_AFTER_NANOS),
-                known.map(MemberKnowledge::draining).orElse(false));
+                freshness.seenWithin(entry.getVm(), now, DEAD_AFTER_NANOS),
+                known.map(MemberStatus::draining).orElse(false));
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/control/ControlView.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/ControlView.java
@@ -29,7 +29,7 @@
      *
      * @param identity its newest incarnation; empty where it was never heard of
      * @param peerAddress where daemons reach it
-     * @param heardAsOfNanos when it lived last
+     * @param lastSeenNanos when it lived last
      * @param live whether it was heard of lately
      */
     public record PeerView(
@@ -37,7 +37,7 @@
             String availabilityZone,
             String callerAddress,
             String peerAddress,
-            long heardAsOfNanos,
+            long lastSeenNanos,
             boolean live,
             boolean draining) {}
 
--- a/daemon/src/main/java/org/bronzelug/daemon/control/PeerMessages.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/PeerMessages.java
@@ -11,7 +11,7 @@
 import org.bronzelug.api.peer.ProbeAnswer;
 import org.bronzelug.core.configuration.VersionedObject;
 import org.bronzelug.core.membership.MemberIdentity;
-import org.bronzelug.core.membership.MemberRoll;
+import org.bronzelug.core.membership.MemberIndex;
 import org.bronzelug.core.membership.PackedAges;
 import org.bronzelug.core.membership.ProbeReport;
 
@@ -25,7 +25,7 @@
     private PeerMessages() {}
 
     /** The answer to a peer that has the same roll: one byte a member. */
-    static ProbeAnswer.Builder packedAnswer(ProbeReport report, long digest, MemberRoll roll) {
+    static ProbeAnswer.Builder packedAnswer(ProbeReport report, long digest, MemberIndex roll) {
         PackedAges packed = PackedAges.pack(roll, report.members());
         ProbeReport named =
                 new ProbeReport(
@@ -51,9 +51,9 @@
                     MemberAge.newBuilder()
                             .setVm(member.identity().vm())
                             .setIncarnation(member.identity().incarnation())
-                            .setHeardAgeMs((int) millisUp(member.heardAgeNanos()))
+                            .setHeardAgeMs((int) millisUp(member.lastSeenAgeNanos()))
                             .setDraining(member.draining());
-            member.coveredAgeNanos()
+            member.syncedAgeNanos()
                     .ifPresent(covered -> age.setCoveredAgeMs((int) millisUp(covered)));
             answer.addMembers(age);
         }
@@ -65,7 +65,7 @@
      *
      * @param roll whose digest the probe carried
      */
-    static ProbeReport report(ProbeAnswer answer, MemberRoll roll) {
+    static ProbeReport report(ProbeAnswer answer, MemberIndex roll) {
         List<ProbeReport.MemberAge> members =
                 PackedAges.unpack(roll, answer.getPackedAges().toByteArray());
         for (MemberAge member : answer.getMembersList()) {
--- a/daemon/src/main/java/org/bronzelug/daemon/control/ProbeService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/ProbeService.java
@@ -16,7 +16,7 @@
 import org.bronzelug.api.peer.ProbeAnswer;
 import org.bronzelug.core.configuration.VersionedObject;
 import org.bronzelug.core.membership.MemberIdentity;
-import org.bronzelug.core.membership.MemberRoll;
+import org.bronzelug.core.membership.MemberIndex;
 import org.bronzelug.core.membership.ProbeReport;
 import org.bronzelug.core.membership.ProbeTargets;
 import org.bronzelug.daemon.action.ActionBook;
@@ -80,20 +80,20 @@
         List<String> heard = new ArrayList<>();
         List<String> unheard = new ArrayList<>();
         for (ControlView.PeerView peer : state.view().peers().values()) {
-            long silence = now - peer.heardAsOfNanos();
+            long silence = now - peer.lastSeenNanos();
             boolean lately = silence <= ProbeTargets.REMEMBERED_NANOS;
             (lately ? heard : unheard).add(peer.peerAddress());
         }
         if (heard.isEmpty() && unheard.isEmpty()) {
             unheard.addAll(settings.seedPeers());
         }
-        MemberRoll roll = state.freshness().roll();
+        MemberIndex roll = state.freshness().roll();
         ProbeTargets.choose(heard, unheard, PROBES_A_ROUND, random)
                 .forEach(address -> probe(address, roll));
         state.publish();
     }
 
-    private void probe(String address, MemberRoll roll) {
+    private void probe(String address, MemberIndex roll) {
         long sent = System.nanoTime();
         Probe probe =
                 Probe.newBuilder()
@@ -112,7 +112,7 @@
                         });
     }
 
-    private void takeAnswer(String address, ProbeAnswer answer, MemberRoll roll, long sent) {
+    private void takeAnswer(String address, ProbeAnswer answer, MemberIndex roll, long sent) {
         List<String> missing = missing(answer);
         if (missing.isEmpty()) {
             state.recordReport(PeerMessages.report(answer, roll), answer.getHeirOfList(), sent);
@@ -140,7 +140,7 @@
         return missing;
     }
 
-    private void takeObjects(Objects objects, ProbeAnswer answer, MemberRoll roll, long sent) {
+    private void takeObjects(Objects objects, ProbeAnswer answer, MemberIndex roll, long sent) {
         state.install(PeerMessages.toObjects(objects.getObjectsList()));
         // The report counts only where all that it was based on has arrived.
         if (missing(answer).isEmpty()) {
@@ -153,7 +153,7 @@
                 () -> {
                     long now = System.nanoTime();
                     long digest = state.configuration().digest();
-                    MemberRoll roll = state.freshness().roll();
+                    MemberIndex roll = state.freshness().roll();
                     ProbeReport report = state.freshness().report(now, state.isDraining());
                     ProbeAnswer.Builder answer =
                             roll.digest() == request.getProbe().getRollDigest()
@@ -204,7 +204,7 @@
                     Acknowledged acknowledged =
                             Acknowledged.newBuilder()
                                     .setIncarnation(state.self().incarnation())
-                                    .setSettled(state.freshness().isSettled())
+                                    .setSettled(state.freshness().isCaughtUp())
                                     .build();
                     return Envelope.newBuilder().setAcknowledged(acknowledged);
                 });
--- a/daemon/src/main/java/org/bronzelug/daemon/generate/GenerateService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/generate/GenerateService.java
@@ -24,7 +24,7 @@
 import org.bronzelug.daemon.caller.CallerKeys;
 import org.bronzelug.daemon.control.ControlState;
 import org.bronzelug.daemon.limit.RateGate;
-import org.bronzelug.daemon.monitor.Measures;
+import org.bronzelug.daemon.monitor.DaemonMetrics;
 import org.bronzelug.daemon.runner.CompletionListener;
 import org.bronzelug.daemon.runner.CompletionRequest;
 import org.bronzelug.daemon.runner.EndpointDirectory;
@@ -52,7 +52,7 @@
     private final RateGate rates;
     private final EndpointDirectory directory;
     private final RunnerClient client;
-    private final Measures measures;
+    private final DaemonMetrics measures;
     private final PlacementPolicy policy = new PlacementPolicy(PlacementSettings.defaults());
     private final Map<String, ModelQueue> queues = new ConcurrentHashMap<>();
     private final Map<String, Generation> running = new ConcurrentHashMap<>();
@@ -65,7 +65,7 @@
             RateGate rates,
             EndpointDirectory directory,
             RunnerClient client,
-            Measures measures) {
+            DaemonMetrics measures) {
         this.settings = settings;
         this.state = state;
         this.keys = keys;
@@ -79,7 +79,7 @@
 
     /** Serves one generation to its end. */
     public GenerationResult generate(KeyDigest key, GenerateRequest request, ChunkSink sink)
-            throws RefusalException, InterruptedException {
+            throws RejectionException, InterruptedException {
         String team = keys.teamOf(key);
         check(request);
         PoolObject pool = pool(request.getModel());
@@ -95,7 +95,7 @@
         }
     }
 
-    private static void check(GenerateRequest request) throws RefusalException {
+    private static void check(GenerateRequest request) throws RejectionException {
         boolean valid =
                 !request.getRequestId().isEmpty()
                         && request.getSegmentsCount() > 0
@@ -103,7 +103,7 @@
                         && request.getStartOffset() >= 0
                         && request.getStartOffset() <= request.getMaxTokens();
         if (!valid) {
-            throw RefusalException.notRun(
+            throw RejectionException.notRun(
                     ProblemCode.BAD_REQUEST,
                     "expected a request_id, a segment or more, max_tokens above 0 and a"
                             + " start_offset from 0 to max_tokens",
@@ -112,10 +112,10 @@
         }
     }
 
-    private PoolObject pool(String model) throws RefusalException {
+    private PoolObject pool(String model) throws RejectionException {
         Optional<PoolObject> pool = state.view().catalog().poolOfModel(model);
         if (pool.isEmpty()) {
-            throw RefusalException.notRun(
+            throw RejectionException.notRun(
                     ProblemCode.UNKNOWN_POOL,
                     "no pool serves the model \"" + model + "\"",
                     "name a model that `bronzelug status` shows",
@@ -146,7 +146,8 @@
                 sink);
     }
 
-    private String reserve(Generation generation, GenerateRequest request) throws RefusalException {
+    private String reserve(Generation generation, GenerateRequest request)
+            throws RejectionException {
         String id = UUID.randomUUID().toString();
         double tokens =
                 generation.chain().tokens() + request.getMaxTokens() - request.getStartOffset();
@@ -160,7 +161,7 @@
             }
             case Admission.NotHeld notHeld -> {
                 measures.rateUnavailable(generation.team());
-                throw RefusalException.notRun(
+                throw RejectionException.notRun(
                         ProblemCode.RATE_UNAVAILABLE,
                         "the VM that holds the team's rate is being replaced",
                         "come back after the time given",
@@ -170,15 +171,15 @@
         return id;
     }
 
-    private static RefusalException overRate(long retryAfterNanos) {
+    private static RejectionException overRate(long retryAfterNanos) {
         if (retryAfterNanos < 0) {
-            return RefusalException.notRun(
+            return RejectionException.notRun(
                     ProblemCode.EXCEEDS_BURST,
                     "prompt and max_tokens exceed the team's burst",
                     "lower max_tokens, or have the operators raise the burst",
                     0);
         }
-        return RefusalException.notRun(
+        return RejectionException.notRun(
                 ProblemCode.OVER_RATE,
                 "the team is beyond its rate",
                 "come back after the time given",
@@ -194,7 +195,7 @@
 
     private GenerationResult run(
             KeyDigest key, Generation generation, PoolObject pool, GenerateRequest request)
-            throws RefusalException, InterruptedException {
+            throws RejectionException, InterruptedException {
         ModelQueue queue = queue(pool.getPool());
         Set<String> avoided = new HashSet<>();
         long arrived = System.nanoTime();
@@ -225,7 +226,7 @@
         throw failed(generation, "all attempts failed", ProblemCode.ENDPOINTS_FAILED);
     }
 
-    private void refuseIfOver(Generation generation) throws RefusalException {
+    private void refuseIfOver(Generation generation) throws RejectionException {
         if (generation.isCancelled()) {
             throw failed(generation, "the caller cancelled", ProblemCode.CANCELLED);
         }
@@ -235,9 +236,9 @@
         }
     }
 
-    private static RefusalException failed(
+    private static RejectionException failed(
             Generation generation, String message, ProblemCode code) {
-        return new RefusalException(
+        return new RejectionException(
                 Problem.newBuilder()
                         .setCode(code.name())
                         .setMessage(
--- a/daemon/src/main/java/org/bronzelug/daemon/generate/ModelQueue.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/generate/ModelQueue.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Supplier;
 import org.bronzelug.core.fairness.FairQueue;
-import org.bronzelug.core.placement.CacheBelief;
+import org.bronzelug.core.placement.CacheEstimate;
 import org.bronzelug.core.placement.Placement;
 import org.bronzelug.core.placement.PlacementPolicy;
 import org.bronzelug.core.placement.PrefixChain;
@@ -27,7 +27,7 @@
  * has a free slot; each slot given is given back once. Thread-safe under its own lock.
  */
 final class ModelQueue {
-    private static final int BELIEVED_PREFIXES_PER_RUNNER = 20_000;
+    private static final int TRACKED_PREFIXES_PER_RUNNER = 20_000;
     private static final long BELIEF_NANOS = TimeUnit.SECONDS.toNanos(30);
     private static final int RECENT_WAITS = 8;
 
@@ -36,8 +36,8 @@
     private final Supplier<List<Endpoint>> usable;
     private final PlacementPolicy policy;
     private final FairQueue<Waiter> queue;
-    private final CacheBelief belief =
-            new CacheBelief(BELIEVED_PREFIXES_PER_RUNNER, BELIEF_NANOS, System.nanoTime());
+    private final CacheEstimate cacheEstimate =
+            new CacheEstimate(TRACKED_PREFIXES_PER_RUNNER, BELIEF_NANOS, System.nanoTime());
     private final Map<Endpoint, Integer> used = new HashMap<>();
     private double recentWaitNanos;
 
@@ -72,7 +72,7 @@
             Set<String> avoided,
             long untilNanos,
             CompletableFuture<Void> cancelled)
-            throws RefusalException, InterruptedException {
+            throws RejectionException, InterruptedException {
         long arrived = System.nanoTime();
         Waiter waiter = new Waiter(chain, Set.copyOf(avoided), new CompletableFuture<>());
         enqueue(team, waiter);
@@ -85,20 +85,20 @@
             return slot;
         } catch (TimeoutException late) {
             giveUp(team, waiter);
-            throw RefusalException.notRun(
+            throw RejectionException.notRun(
                     ProblemCode.DEADLINE,
                     "no runner was free before the deadline",
                     "come back later, or allow a longer deadline",
                     retryAfterMillis());
         } catch (CancellationException givenUp) {
             giveUp(team, waiter);
-            throw RefusalException.notRun(
+            throw RejectionException.notRun(
                     ProblemCode.CANCELLED, "the caller cancelled", "ask again if need be", 0);
         } catch (InterruptedException stopping) {
             giveUp(team, waiter);
             throw stopping;
         } catch (ExecutionException displaced) {
-            throw (RefusalException) displaced.getCause();
+            throw (RejectionException) displaced.getCause();
         }
     }
 
@@ -111,8 +111,8 @@
                 displaced -> displaced.slot.completeExceptionally(tooMany(retryAfterMillis())));
     }
 
-    private RefusalException tooMany(long retryAfterMillis) {
-        return RefusalException.notRun(
+    private RejectionException tooMany(long retryAfterMillis) {
+        return RejectionException.notRun(
                 ProblemCode.OVERLOADED,
                 "too many requests wait for pool " + pool,
                 "come back later",
@@ -197,17 +197,17 @@
             free.values().forEach(endpoint -> loads.add(endpoint.load()));
         }
         long now = System.nanoTime();
-        Placement placement = policy.choose(waiter.chain, loads, belief, now).orElseThrow();
+        Placement placement = policy.choose(waiter.chain, loads, cacheEstimate, now).orElseThrow();
         Endpoint endpoint = free.get(placement.runner());
         used.merge(endpoint, 1, Integer::sum);
         endpoint.begin(missingTokens(waiter, placement));
-        belief.recordCached(placement.runner(), placement.incarnation(), waiter.chain, now);
+        cacheEstimate.recordCached(placement.runner(), placement.incarnation(), waiter.chain, now);
         return new Slot(endpoint, placement);
     }
 
     /** The tokens that a placed request is expected to prefill. */
     static int missingTokens(PrefixChain chain, Placement placement) {
-        return Math.max(0, chain.tokens() - placement.believedCachedTokens());
+        return Math.max(0, chain.tokens() - placement.estimatedCachedTokens());
     }
 
     private static int missingTokens(Waiter waiter, Placement placement) {
@@ -218,15 +218,15 @@
     synchronized void learn(Slot slot, PrefixChain chain, int cachedTokens) {
         String runner = slot.placement.runner();
         String incarnation = slot.placement.incarnation();
-        if (cachedTokens < slot.placement.believedCachedTokens()) {
-            belief.recordFound(runner, incarnation, chain, cachedTokens);
+        if (cachedTokens < slot.placement.estimatedCachedTokens()) {
+            cacheEstimate.recordFound(runner, incarnation, chain, cachedTokens);
         }
-        belief.recordCached(runner, incarnation, chain, System.nanoTime());
+        cacheEstimate.recordCached(runner, incarnation, chain, System.nanoTime());
     }
 
     /** Forgets what an endpoint had cached. */
     synchronized void forget(Endpoint endpoint) {
-        belief.forget(endpoint.name());
+        cacheEstimate.forget(endpoint.name());
     }
 
     private synchronized void noteWait(long nanos) {
--- a/daemon/src/main/java/org/bronzelug/daemon/generate/RefusalException.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/generate/RejectionException.java
@@ -4,12 +4,12 @@
 import org.bronzelug.api.Problem;
 
 /** A request gets its final answer: why, whether it ran, when to come back, and the remedy. */
-public final class RefusalException extends Exception {
+public final class RejectionException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final transient Problem problem;
 
-    public RefusalException(Problem problem) {
+    public RejectionException(Problem problem) {
         super(problem.getCode() + ": " + problem.getMessage());
         this.problem = problem;
     }
@@ -19,9 +19,9 @@
     }
 
     /** A refusal of a request that did not run. */
-    public static RefusalException notRun(
+    public static RejectionException notRun(
             ProblemCode code, String message, String remedy, long retryAfterMillis) {
-        return new RefusalException(
+        return new RejectionException(
                 Problem.newBuilder()
                         .setCode(code.name())
                         .setMessage(message)
--- a/daemon/src/main/java/org/bronzelug/daemon/monitor/Measures.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/monitor/DaemonMetrics.java
@@ -16,7 +16,7 @@
  * <p>Names of teams appear, keys never. Thread-safe.
  */
 @Singleton
-public final class Measures {
+public final class DaemonMetrics {
     private final MetricRegistry registry = new MetricRegistry();
     private final Counter promptTokens = registry.counter("prompt_tokens");
     private final Counter cachedTokens = registry.counter("prompt_tokens_cached");
@@ -25,7 +25,7 @@
     private final Map<String, Timer> firstTokenByTeam = new ConcurrentHashMap<>();
 
     @Inject
-    public Measures() {
+    public DaemonMetrics() {
         registry.register("prefix_hit_rate", (Gauge<Double>) this::prefixHitRate);
         registry.register("worst_team_first_token_p99_ms", (Gauge<Double>) this::worstTeam);
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/monitor/MonitorServer.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/monitor/MonitorServer.java
@@ -29,13 +29,16 @@
 
     private final Settings settings;
     private final ControlState state;
-    private final Measures measures;
+    private final DaemonMetrics measures;
     private final PlatformClient platform;
     private Javalin server;
 
     @Inject
     public MonitorServer(
-            Settings settings, ControlState state, Measures measures, PlatformClient platform) {
+            Settings settings,
+            ControlState state,
+            DaemonMetrics measures,
+            PlatformClient platform) {
         this.settings = settings;
         this.state = state;
         this.measures = measures;
--- a/daemon/src/main/java/org/bronzelug/daemon/operator/ChangeService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/operator/ChangeService.java
@@ -18,7 +18,7 @@
 import org.bronzelug.daemon.configuration.ObjectWriter;
 import org.bronzelug.daemon.control.Announcer;
 import org.bronzelug.daemon.generate.ProblemCode;
-import org.bronzelug.daemon.generate.RefusalException;
+import org.bronzelug.daemon.generate.RejectionException;
 import org.bronzelug.daemon.platform.PlatformClient;
 import org.bronzelug.daemon.platform.PlatformException;
 import org.bronzelug.log.EventLog;
@@ -51,7 +51,7 @@
     }
 
     /** Applies a change; the answer tells what became of it. */
-    public ChangeAnswer change(ChangeRequest request) throws RefusalException {
+    public ChangeAnswer change(ChangeRequest request) throws RejectionException {
         ConfigurationEdit edit = new ConfigurationEdit(request, random);
         String key = edit.objectKey();
         long lastVersion = 0;
@@ -81,11 +81,11 @@
      * operator vouches that the VM is off, it can't serve an old configuration, and nobody waits.
      */
     private void beforeWrite(ChangeRequest request, String key, Optional<VersionedObject> present)
-            throws RefusalException {
+            throws RejectionException {
         boolean roster = key.equals(ObjectKeys.ROSTER) && present.isPresent();
         boolean vouchedFor = request.getRemoveVm().getSwitchedOff();
         if (roster && !vouchedFor && !announcer.announce(List.of(present.get()))) {
-            throw RefusalException.notRun(
+            throw RejectionException.notRun(
                     ProblemCode.CHANGE_NOT_CONFIRMED,
                     "the present roster is not confirmed by a majority of its VMs",
                     "start more of the roster's VMs, or vouch with --switched-off that it is off",
@@ -98,7 +98,7 @@
             ChangeRequest request,
             String key,
             Optional<VersionedObject> present)
-            throws RefusalException {
+            throws RejectionException {
         String mark = UUID.randomUUID().toString();
         long version = present.map(VersionedObject::version).orElse(0L);
         AuditEntry audit =
@@ -144,11 +144,11 @@
         return answer.build();
     }
 
-    private Optional<VersionedObject> read(String key) throws RefusalException {
+    private Optional<VersionedObject> read(String key) throws RejectionException {
         try {
             return platform.get(key);
         } catch (PlatformException failed) {
-            throw RefusalException.notRun(
+            throw RejectionException.notRun(
                     ProblemCode.CHANGE_IN_DOUBT,
                     "nothing was changed: " + failed.getMessage(),
                     "ask again when the platform answers",
@@ -182,12 +182,12 @@
     }
 
     /** The audit entries of an object, as committed now. */
-    public List<AuditEntry> audit(String key) throws RefusalException {
+    public List<AuditEntry> audit(String key) throws RejectionException {
         try {
             Optional<VersionedObject> object = read(key);
             return object.isEmpty() ? List.of() : AuditTrail.entries(key, object.get().value());
         } catch (com.google.protobuf.InvalidProtocolBufferException unreadable) {
-            throw RefusalException.notRun(
+            throw RejectionException.notRun(
                     ProblemCode.NOT_FOUND, "the object can't be read", "see event 203", 0);
         }
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/operator/ConfigurationEdit.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/operator/ConfigurationEdit.java
@@ -20,7 +20,7 @@
 import org.bronzelug.daemon.configuration.AuditTrail;
 import org.bronzelug.daemon.configuration.ObjectKeys;
 import org.bronzelug.daemon.generate.ProblemCode;
-import org.bronzelug.daemon.generate.RefusalException;
+import org.bronzelug.daemon.generate.RejectionException;
 
 /**
  * One change, as an edit of the one object that it touches.
@@ -46,7 +46,7 @@
     }
 
     /** The object that the change touches. */
-    String objectKey() throws RefusalException {
+    String objectKey() throws RejectionException {
         return switch (request.getChangeCase()) {
             case SET_TEAM -> ObjectKeys.team(name(request.getSetTeam().getTeam()));
             case ISSUE_KEY -> ObjectKeys.team(name(request.getIssueKey().getTeam()));
@@ -66,7 +66,7 @@
      * @param present the object's value; empty where there is none
      * @param audit the entry that the new value carries
      */
-    byte[] apply(Optional<byte[]> present, AuditEntry audit) throws RefusalException {
+    byte[] apply(Optional<byte[]> present, AuditEntry audit) throws RejectionException {
         try {
             String key = objectKey();
             if (key.equals(ObjectKeys.ROSTER)) {
@@ -81,7 +81,7 @@
     }
 
     private byte[] editTeam(Optional<byte[]> present, AuditEntry audit)
-            throws RefusalException, InvalidProtocolBufferException {
+            throws RejectionException, InvalidProtocolBufferException {
         boolean creates = request.hasSetTeam();
         TeamObject.Builder team =
                 creates && present.isEmpty()
@@ -96,7 +96,7 @@
         return team.build().toByteArray();
     }
 
-    private static void setTeam(TeamObject.Builder team, SetTeam change) throws RefusalException {
+    private static void setTeam(TeamObject.Builder team, SetTeam change) throws RejectionException {
         boolean valid = change.getTokensPerSecond() >= 0 && change.getBurstTokens() > 0;
         if (!valid) {
             throw bad("met a negative rate or no burst", "give a rate of 0 or more and a burst");
@@ -106,7 +106,7 @@
                 .setBurstTokens(change.getBurstTokens());
     }
 
-    private void issueKey(TeamObject.Builder team, String keyName) throws RefusalException {
+    private void issueKey(TeamObject.Builder team, String keyName) throws RejectionException {
         if (team.getKeysList().stream().anyMatch(key -> key.getName().equals(keyName))) {
             throw bad("the team has a key named " + keyName, "choose another name");
         }
@@ -119,7 +119,7 @@
     }
 
     private static void withdrawKey(TeamObject.Builder team, String keyName)
-            throws RefusalException {
+            throws RejectionException {
         for (int index = 0; index < team.getKeysCount(); index++) {
             if (team.getKeys(index).getName().equals(keyName)) {
                 team.setKeys(index, team.getKeys(index).toBuilder().setWithdrawn(true));
@@ -130,7 +130,7 @@
     }
 
     private byte[] editPool(Optional<byte[]> present, AuditEntry audit)
-            throws RefusalException, InvalidProtocolBufferException {
+            throws RejectionException, InvalidProtocolBufferException {
         boolean creates = request.hasSetPool();
         PoolObject.Builder pool =
                 creates && present.isEmpty()
@@ -156,7 +156,8 @@
                 .setChecksFencing(change.getChecksFencing());
     }
 
-    private static void join(PoolObject.Builder pool, JoinEndpoint change) throws RefusalException {
+    private static void join(PoolObject.Builder pool, JoinEndpoint change)
+            throws RejectionException {
         if (!change.getUrl().matches("https?://[0-9.\\[\\]a-fA-F:]+")) {
             throw bad("met the URL " + change.getUrl(), "give http://IP:port, with no host name");
         }
@@ -169,7 +170,7 @@
     }
 
     private static void leave(PoolObject.Builder pool, LeaveEndpoint change)
-            throws RefusalException {
+            throws RejectionException {
         Optional<EndpointEntry> present =
                 pool.getEndpointsList().stream()
                         .filter(entry -> entry.getEndpoint().equals(change.getEndpoint()))
@@ -190,7 +191,7 @@
     }
 
     private static void orderWeights(PoolObject.Builder pool, OrderWeights change)
-            throws RefusalException {
+            throws RejectionException {
         if (change.getWeightsVersion() <= 0) {
             throw bad("met no weights version", "give a version above 0");
         }
@@ -198,7 +199,7 @@
     }
 
     private byte[] editRoster(byte[] present, AuditEntry audit)
-            throws RefusalException, InvalidProtocolBufferException {
+            throws RejectionException, InvalidProtocolBufferException {
         RosterObject.Builder roster = RosterObject.parseFrom(present).toBuilder();
         String vm = request.getRemoveVm().getVm();
         var others =
@@ -211,26 +212,26 @@
         return roster.build().toByteArray();
     }
 
-    private static byte[] require(Optional<byte[]> present) throws RefusalException {
+    private static byte[] require(Optional<byte[]> present) throws RejectionException {
         if (present.isEmpty()) {
             throw notFound("object");
         }
         return present.get();
     }
 
-    private static String name(String name) throws RefusalException {
+    private static String name(String name) throws RejectionException {
         if (name.length() > MAXIMUM_NAME || !name.matches("[a-z0-9][a-z0-9-]*")) {
             throw bad("met the name \"" + name + "\"", "use a-z, 0-9 and -, at most 63");
         }
         return name;
     }
 
-    private static RefusalException bad(String message, String remedy) {
-        return RefusalException.notRun(ProblemCode.BAD_REQUEST, message, remedy, 0);
+    private static RejectionException bad(String message, String remedy) {
+        return RejectionException.notRun(ProblemCode.BAD_REQUEST, message, remedy, 0);
     }
 
-    private static RefusalException notFound(String what) {
-        return RefusalException.notRun(
+    private static RejectionException notFound(String what) {
+        return RejectionException.notRun(
                 ProblemCode.NOT_FOUND, "there is no such " + what, "see `bronzelug status`", 0);
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/operator/OperatorCalls.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/operator/OperatorCalls.java
@@ -11,7 +11,7 @@
 import org.bronzelug.api.StatusAnswer;
 import org.bronzelug.api.StatusRequest;
 import org.bronzelug.daemon.caller.Problems;
-import org.bronzelug.daemon.generate.RefusalException;
+import org.bronzelug.daemon.generate.RejectionException;
 
 /** The calls of operators; each needs the operators' secret. Thread-safe. */
 @Singleton
@@ -32,7 +32,7 @@
         try {
             secret.check();
             finish(observer, changes.change(request));
-        } catch (RefusalException refused) {
+        } catch (RejectionException refused) {
             finish(observer, ChangeAnswer.newBuilder().setProblem(refused.problem()).build());
         }
     }
@@ -46,7 +46,7 @@
                     AuditAnswer.newBuilder()
                             .addAllEntries(changes.audit(request.getObject()))
                             .build());
-        } catch (RefusalException refused) {
+        } catch (RejectionException refused) {
             finish(observer, AuditAnswer.newBuilder().setProblem(refused.problem()).build());
         }
     }
@@ -56,7 +56,7 @@
         try {
             secret.check();
             finish(observer, reporter.status());
-        } catch (RefusalException refused) {
+        } catch (RejectionException refused) {
             observer.onError(Problems.toStatus(refused.problem()));
         }
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/operator/OperatorSecret.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/operator/OperatorSecret.java
@@ -11,7 +11,7 @@
 import javax.inject.Singleton;
 import org.bronzelug.core.key.KeyDigest;
 import org.bronzelug.daemon.generate.ProblemCode;
-import org.bronzelug.daemon.generate.RefusalException;
+import org.bronzelug.daemon.generate.RejectionException;
 import org.bronzelug.daemon.settings.Settings;
 
 /** Checks the operators' secret; without one in the settings, no operator's call is taken. */
@@ -43,14 +43,14 @@
     }
 
     /** Checks the present call. */
-    public void check() throws RefusalException {
+    public void check() throws RejectionException {
         KeyDigest met = PRESENT.get();
         boolean right =
                 expected.isPresent()
                         && met != null
                         && MessageDigest.isEqual(expected.get().bytes(), met.bytes());
         if (!right) {
-            throw RefusalException.notRun(
+            throw RejectionException.notRun(
                     ProblemCode.OPERATOR_REFUSED,
                     "the operators' secret is wrong or missing",
                     "set BRONZELUG_OPERATOR_SECRET_FILE, and operatorSecretFile in the daemon's"
--- a/daemon/src/main/java/org/bronzelug/daemon/operator/StatusReporter.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/operator/StatusReporter.java
@@ -16,7 +16,7 @@
 import org.bronzelug.daemon.control.ControlThread;
 import org.bronzelug.daemon.control.ControlView;
 import org.bronzelug.daemon.control.PlatformWatch;
-import org.bronzelug.daemon.monitor.Measures;
+import org.bronzelug.daemon.monitor.DaemonMetrics;
 import org.bronzelug.daemon.platform.PlatformClient;
 import org.bronzelug.daemon.runner.Endpoint;
 import org.bronzelug.daemon.runner.EndpointDirectory;
@@ -31,7 +31,7 @@
     private final PlatformWatch watch;
     private final PlatformClient platform;
     private final EndpointDirectory directory;
-    private final Measures measures;
+    private final DaemonMetrics measures;
 
     @Inject
     public StatusReporter(
@@ -41,7 +41,7 @@
             PlatformWatch watch,
             PlatformClient platform,
             EndpointDirectory directory,
-            Measures measures) {
+            DaemonMetrics measures) {
         this.settings = settings;
         this.control = control;
         this.state = state;
@@ -97,7 +97,7 @@
         String name = peer.live() ? (peer.draining() ? "stopping" : "live") : "unheard";
         return status.setState(name)
                 .setIncarnation(peer.identity().map(MemberIdentity::incarnation).orElse(""))
-                .setHeardMsAgo(TimeUnit.NANOSECONDS.toMillis(now - peer.heardAsOfNanos()))
+                .setHeardMsAgo(TimeUnit.NANOSECONDS.toMillis(now - peer.lastSeenNanos()))
                 .build();
     }
 
--- a/daemon/src/main/java/org/bronzelug/daemon/peer/PeerConnection.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/peer/PeerConnection.java
@@ -30,7 +30,7 @@
  *
  * <p>Invariant: no exchange outlasts its peer. The failure: the peer freezes, or a network drops
  * all without a word, and the caller waits for its whole deadline though the peer is long gone.
- * While answers are awaited and nothing comes, keepalives are sent; {@link #SILENT_LOOKS} looks in
+ * While answers are awaited and nothing comes, keepalives are sent; {@link #SILENT_CHECKS} looks in
  * vain end the connection. A peer answers them on its event loop, however long its handlers take;
  * and a pause of this process counts as one look at most, so it condemns no peer.
  *
@@ -41,10 +41,10 @@
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
     /** How often a connection that nothing came on is looked at. */
-    static final int SILENT_LOOK_MILLIS = 500;
+    static final int SILENT_CHECK_MILLIS = 500;
 
     /** So many looks in a row with nothing heard end a connection that owes answers. */
-    static final int SILENT_LOOKS = 3;
+    static final int SILENT_CHECKS = 3;
 
     private final PeerSecret secret;
     private final ByteString nonce;
@@ -131,7 +131,7 @@
     @Override
     public void handlerAdded(ChannelHandlerContext channel) {
         IdleStateHandler looks =
-                new IdleStateHandler(SILENT_LOOK_MILLIS, 0, 0, TimeUnit.MILLISECONDS);
+                new IdleStateHandler(SILENT_CHECK_MILLIS, 0, 0, TimeUnit.MILLISECONDS);
         channel.pipeline().addFirst(looks);
         synchronized (this) {
             context = channel;
@@ -163,7 +163,7 @@
             channel.writeAndFlush(
                     Envelope.newBuilder().setKeepalive(Keepalive.getDefaultInstance()).build());
         }
-        return silentLooks >= SILENT_LOOKS;
+        return silentLooks >= SILENT_CHECKS;
     }
 
     private synchronized void noteHeard() {
--- a/daemon/src/test/java/org/bronzelug/daemon/generate/ModelQueueTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/generate/ModelQueueTest.java
@@ -45,7 +45,7 @@
     }
 
     private ModelQueue.Slot acquire(long untilNanos, CompletableFuture<Void> cancelled)
-            throws RefusalException, InterruptedException {
+            throws RejectionException, InterruptedException {
         return queue.acquire("team", CHAIN, Set.of(), untilNanos, cancelled);
     }
 
@@ -87,14 +87,14 @@
     @Test
     void aSlotGrantedAtTheDeadlineIsGivenBackWhole() throws Exception {
         ModelQueue.Slot held = first();
-        AtomicReference<RefusalException> refused = new AtomicReference<>();
+        AtomicReference<RejectionException> refused = new AtomicReference<>();
         long soon = System.nanoTime() + 300_000_000;
         Thread waiter =
                 new Thread(
                         () ->
                                 refused.set(
                                         assertThrows(
-                                                RefusalException.class,
+                                                RejectionException.class,
                                                 () -> acquire(soon, never))));
         waiter.start();
         awaitState(waiter, Thread.State.TIMED_WAITING);
@@ -109,13 +109,13 @@
     void aRequestCancelledWhileItWaitsIsAnsweredAtOnce() throws Exception {
         ModelQueue.Slot held = first();
         CompletableFuture<Void> cancelled = new CompletableFuture<>();
-        AtomicReference<RefusalException> refused = new AtomicReference<>();
+        AtomicReference<RejectionException> refused = new AtomicReference<>();
         Thread waiter =
                 new Thread(
                         () ->
                                 refused.set(
                                         assertThrows(
-                                                RefusalException.class,
+                                                RejectionException.class,
                                                 () -> acquire(inSeconds(3_600), cancelled))));
         waiter.start();
         awaitState(waiter, Thread.State.TIMED_WAITING);
@@ -135,7 +135,7 @@
                 new Thread(
                         () ->
                                 assertThrows(
-                                        RefusalException.class,
+                                        RejectionException.class,
                                         () -> acquire(inSeconds(3_600), cancelled)));
         waiter.start();
         awaitState(waiter, Thread.State.TIMED_WAITING);
@@ -150,9 +150,9 @@
         first();
         List<CompletableFuture<String>> flood = new ArrayList<>();
         for (int request = 0; request < CAPACITY; request++) {
-            flood.add(refusal("flood"));
+            flood.add(rejection("flood"));
         }
-        CompletableFuture<String> quiet = refusal("quiet");
+        CompletableFuture<String> quiet = rejection("quiet");
         CompletableFuture.anyOf(flood.toArray(CompletableFuture[]::new)).join();
         List<String> told = new ArrayList<>();
         flood.stream().filter(CompletableFuture::isDone).forEach(f -> told.add(f.join()));
@@ -161,14 +161,14 @@
     }
 
     /** Asks on a thread of its own, and returns once it waits; later its refusal. */
-    private CompletableFuture<String> refusal(String team) {
+    private CompletableFuture<String> rejection(String team) {
         CompletableFuture<String> code = new CompletableFuture<>();
         Thread waiter =
                 new Thread(
                         () -> {
                             try {
                                 queue.acquire(team, CHAIN, Set.of(), inSeconds(3_600), never);
-                            } catch (RefusalException refused) {
+                            } catch (RejectionException refused) {
                                 assertThat(refused.problem().getRetryAfterMs()).isGreaterThan(0L);
                                 code.complete(refused.problem().getCode());
                             } catch (InterruptedException stopped) {
--- a/daemon/src/test/java/org/bronzelug/daemon/peer/PeerNetworkTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/peer/PeerNetworkTest.java
@@ -135,7 +135,7 @@
     void aSlowAnswerOfALivePeerIsAwaited() {
         CompletableFuture<Envelope> slow = ask("slow", LONG_MILLIS);
         Held heldSlow = next();
-        while (connection.keepalivesSent() <= PeerConnection.SILENT_LOOKS) {
+        while (connection.keepalivesSent() <= PeerConnection.SILENT_CHECKS) {
             Thread.onSpinWait();
         }
         answer(heldSlow);
--- a/measurement/src/main/java/org/bronzelug/measure/FreshnessMeasurement.java
+++ b/measurement/src/main/java/org/bronzelug/measure/FreshnessMeasurement.java
@@ -12,7 +12,7 @@
 import org.HdrHistogram.Histogram;
 import org.bronzelug.core.membership.Freshness;
 import org.bronzelug.core.membership.MemberIdentity;
-import org.bronzelug.core.membership.MemberRoll;
+import org.bronzelug.core.membership.MemberIndex;
 import org.bronzelug.core.membership.PackedAges;
 import org.bronzelug.core.membership.ProbeReport;
 import org.bronzelug.core.membership.ProbeTargets;
@@ -131,7 +131,7 @@
         List<Integer> heard = new ArrayList<>();
         List<Integer> unheard = new ArrayList<>();
         for (int vm = 0; vm < vms.size(); vm++) {
-            boolean live = own.heardWithin(names.get(vm), round.at, ProbeTargets.REMEMBERED_NANOS);
+            boolean live = own.seenWithin(names.get(vm), round.at, ProbeTargets.REMEMBERED_NANOS);
             if (vm != round.vm) {
                 (live ? heard : unheard).add(vm);
             }
@@ -145,7 +145,7 @@
         }
         Freshness asking = vms.get(from);
         Freshness answering = vms.get(to);
-        MemberRoll roll = answering.roll();
+        MemberIndex roll = answering.roll();
         ProbeReport report = answering.report(now, false);
         PackedAges packed = PackedAges.pack(roll, report.members());
         List<ProbeReport.MemberAge> received = new ArrayList<>(packed.named());
--- a/measurement/src/main/java/org/bronzelug/measure/ModelledRunner.java
+++ b/measurement/src/main/java/org/bronzelug/measure/ModelledRunner.java
@@ -37,7 +37,7 @@
         return Integer.toString(incarnation);
     }
 
-    boolean isGone() {
+    boolean isDead() {
         return gone;
     }
 
--- a/measurement/src/main/java/org/bronzelug/measure/ModelledVm.java
+++ b/measurement/src/main/java/org/bronzelug/measure/ModelledVm.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.bronzelug.core.fairness.FairQueue;
 import org.bronzelug.core.membership.Rendezvous;
-import org.bronzelug.core.placement.CacheBelief;
+import org.bronzelug.core.placement.CacheEstimate;
 import org.bronzelug.core.placement.LoadEstimate;
 import org.bronzelug.core.placement.Placement;
 import org.bronzelug.core.placement.PlacementPolicy;
@@ -33,7 +33,7 @@
     private final PlacementPolicy placement = new PlacementPolicy(PlacementSettings.defaults());
     private final Map<String, Long> reportedAt = new HashMap<>();
     private final Map<String, LoadEstimate> estimates = new HashMap<>();
-    private CacheBelief belief = new CacheBelief(BELIEVED, BELIEF_LIFETIME, 0);
+    private CacheEstimate cacheEstimate = new CacheEstimate(BELIEVED, BELIEF_LIFETIME, 0);
     private FairQueue<Request> queue = new FairQueue<>(WAITING);
     private int turn;
 
@@ -52,7 +52,7 @@
     /** Forgets all, as a restarted daemon; callers ask again for what was waiting. */
     void restart() {
         FairQueue<Request> before = queue;
-        belief = new CacheBelief(BELIEVED, BELIEF_LIFETIME, simulation.now());
+        cacheEstimate = new CacheEstimate(BELIEVED, BELIEF_LIFETIME, simulation.now());
         queue = new FairQueue<>(WAITING);
         reportedAt.clear();
         for (Optional<Request> left = before.poll(); left.isPresent(); left = before.poll()) {
@@ -82,7 +82,7 @@
         List<ModelledRunner> free = new ArrayList<>();
         for (ModelledRunner runner : runners) {
             boolean slot = estimate(runner).ownStreams() < streamsPerRunner;
-            if (!runner.isGone() && slot) {
+            if (!runner.isDead() && slot) {
                 free.add(runner);
             }
         }
@@ -92,14 +92,14 @@
     private ModelledRunner choose(PrefixChain chain, List<ModelledRunner> free) {
         return switch (policy) {
             case ROUND_ROBIN -> free.get(turn++ % free.size());
-            case LEAST_LOAD -> leastLoaded(free);
+            case LEAST_LOAD -> leastLoadedEndpoint(free);
             case RENDEZVOUS -> byHash(chain, free);
             case ORACLE -> byOracle(chain, free);
             default -> byShippedPolicy(chain, free);
         };
     }
 
-    private ModelledRunner leastLoaded(List<ModelledRunner> free) {
+    private ModelledRunner leastLoadedEndpoint(List<ModelledRunner> free) {
         ModelledRunner best = free.get(0);
         for (ModelledRunner runner : free) {
             if (load(runner).queuedPrefillTokens() < load(best).queuedPrefillTokens()) {
@@ -112,7 +112,7 @@
     private static ModelledRunner byHash(PrefixChain chain, List<ModelledRunner> free) {
         List<String> names = free.stream().map(ModelledRunner::name).toList();
         String first =
-                Rendezvous.first(chain.deepestShared().hash().toString(), names).orElseThrow();
+                Rendezvous.first(chain.deepestSharedLevel().hash().toString(), names).orElseThrow();
         return free.get(names.indexOf(first));
     }
 
@@ -132,7 +132,8 @@
 
     private ModelledRunner byShippedPolicy(PrefixChain chain, List<ModelledRunner> free) {
         List<RunnerLoad> loads = free.stream().map(this::load).toList();
-        Placement chosen = placement.choose(chain, loads, belief, simulation.now()).orElseThrow();
+        Placement chosen =
+                placement.choose(chain, loads, cacheEstimate, simulation.now()).orElseThrow();
         return free.stream()
                 .filter(runner -> runner.name().equals(chosen.runner()))
                 .findFirst()
@@ -156,7 +157,8 @@
     private void dispatch(Request request, ModelledRunner runner) {
         String name = runner.name();
         PrefixChain chain = request.chain();
-        int believed = belief.cachedTokens(name, runner.incarnation(), chain, simulation.now());
+        int believed =
+                cacheEstimate.cachedTokens(name, runner.incarnation(), chain, simulation.now());
         double queued = Math.max(0, chain.tokens() - believed);
         estimate(runner).begin(queued);
         remember(runner, chain);
@@ -166,7 +168,8 @@
 
     private void remember(ModelledRunner runner, PrefixChain chain) {
         if (policy != Policy.NO_BELIEF) {
-            belief.recordCached(runner.name(), runner.incarnation(), chain, simulation.now());
+            cacheEstimate.recordCached(
+                    runner.name(), runner.incarnation(), chain, simulation.now());
         }
     }
 
@@ -182,7 +185,7 @@
         runner.end();
         estimate(runner).end();
         if (policy != Policy.NO_BELIEF) {
-            belief.recordFound(runner.name(), runner.incarnation(), request.chain(), found);
+            cacheEstimate.recordFound(runner.name(), runner.incarnation(), request.chain(), found);
             remember(runner, request.chain());
         }
         pump();
--- a/measurement/src/main/java/org/bronzelug/measure/SlopeMeasurement.java
+++ b/measurement/src/main/java/org/bronzelug/measure/SlopeMeasurement.java
@@ -20,10 +20,10 @@
 import org.bronzelug.core.limit.TokenBucket;
 import org.bronzelug.core.membership.Freshness;
 import org.bronzelug.core.membership.MemberIdentity;
-import org.bronzelug.core.membership.MemberRoll;
+import org.bronzelug.core.membership.MemberIndex;
 import org.bronzelug.core.membership.PackedAges;
 import org.bronzelug.core.membership.ProbeReport;
-import org.bronzelug.core.placement.CacheBelief;
+import org.bronzelug.core.placement.CacheEstimate;
 import org.bronzelug.core.placement.PlacementPolicy;
 import org.bronzelug.core.placement.PlacementSettings;
 import org.bronzelug.core.placement.PrefixChain;
@@ -53,15 +53,20 @@
     }
 
     private void measureBeliefs() {
-        bytes("bytes: cached prefix believed in", sizes(20_000, 100_000, 300_000), this::belief);
+        bytes(
+                "bytes: cached prefix believed in",
+                sizes(20_000, 100_000, 300_000),
+                this::cacheEstimate);
         nanos(
                 "ns: prefixes recorded, all of them",
                 sizes(5_000, 20_000, 80_000),
                 n -> {
                     List<PrefixChain> chains = chains(n);
-                    CacheBelief belief = belief(n);
+                    CacheEstimate cacheEstimate = cacheEstimate(n);
                     return time(
-                            () -> chains.forEach(each -> belief.recordCached("r", "i", each, 1)),
+                            () ->
+                                    chains.forEach(
+                                            each -> cacheEstimate.recordCached("r", "i", each, 1)),
                             1);
                 });
     }
@@ -73,14 +78,14 @@
                 sizes(5_000, 20_000, 80_000),
                 n -> {
                     List<PrefixChain> chains = chains(n);
-                    CacheBelief belief = belief(n);
-                    return time(() -> chains.forEach(each -> applyEvents(belief, each)), 1);
+                    CacheEstimate cacheEstimate = cacheEstimate(n);
+                    return time(() -> chains.forEach(each -> applyEvents(cacheEstimate, each)), 1);
                 });
     }
 
-    private static void applyEvents(CacheBelief belief, PrefixChain chain) {
-        belief.recordCached("r", "i", chain, 1);
-        belief.recordEvicted("r", "i", chain.root().hash());
+    private static void applyEvents(CacheEstimate cacheEstimate, PrefixChain chain) {
+        cacheEstimate.recordCached("r", "i", chain, 1);
+        cacheEstimate.recordEvicted("r", "i", chain.root().hash());
     }
 
     private void measurePeers() {
@@ -104,7 +109,7 @@
                 "ns: report of all peers packed",
                 sizes(7, 35, 350),
                 n -> {
-                    MemberRoll roll = freshness(n).roll();
+                    MemberIndex roll = freshness(n).roll();
                     ProbeReport report = report(n, 2_000 * MILLI);
                     return time(() -> PackedAges.pack(roll, report.members()), 200);
                 });
@@ -158,13 +163,13 @@
                 sizes(8, 27, 110),
                 n -> {
                     PlacementPolicy policy = new PlacementPolicy(PlacementSettings.defaults());
-                    CacheBelief belief = belief(1_000);
+                    CacheEstimate cacheEstimate = cacheEstimate(1_000);
                     List<RunnerLoad> loads = new ArrayList<>();
                     for (int index = 0; index < n; index++) {
                         loads.add(new RunnerLoad("runner-" + index, "i", index, 0));
                     }
                     PrefixChain chain = chain(1);
-                    return time(() -> policy.choose(chain, loads, belief, 1), 200);
+                    return time(() -> policy.choose(chain, loads, cacheEstimate, 1), 200);
                 });
         nanos(
                 "ns: prefix hashed, by kilobytes of prompt",
@@ -238,12 +243,12 @@
         return IntStream.range(0, count).mapToObj(SlopeMeasurement::chain).toList();
     }
 
-    private CacheBelief belief(int prefixes) {
-        CacheBelief belief = new CacheBelief(prefixes + 1, Long.MAX_VALUE, 0);
+    private CacheEstimate cacheEstimate(int prefixes) {
+        CacheEstimate cacheEstimate = new CacheEstimate(prefixes + 1, Long.MAX_VALUE, 0);
         for (int index = 0; index < prefixes; index++) {
-            belief.recordCached("r", "i", chain(index), 0);
+            cacheEstimate.recordCached("r", "i", chain(index), 0);
         }
-        return belief;
+        return cacheEstimate;
     }
 
     private static MemberIdentity member(int number) {
@@ -271,7 +276,7 @@
     }
 
     private ProbeAnswer packed(int peers) {
-        MemberRoll roll = freshness(peers).roll();
+        MemberIndex roll = freshness(peers).roll();
         PackedAges packed = PackedAges.pack(roll, report(peers, 2_000 * MILLI).members());
         return ProbeAnswer.newBuilder()
                 .setVm("zone-a-1")
--- a/router/src/main/java/org/bronzelug/router/control/ControlService.java
+++ b/router/src/main/java/org/bronzelug/router/control/ControlService.java
@@ -20,7 +20,7 @@
 import org.bronzelug.router.fleet.FleetGossip;
 import org.bronzelug.router.fleet.Member;
 import org.bronzelug.router.fleet.MemberTable;
-import org.bronzelug.router.http.HttpResponder.SmallAnswer;
+import org.bronzelug.router.http.HttpResponder.SmallResponse;
 import org.bronzelug.router.metrics.RouterMetrics;
 import org.bronzelug.router.order.OrderService;
 import org.bronzelug.router.settings.VmSettings;
@@ -180,7 +180,7 @@
     public record FrontAddress(String address, String availabilityZone) {}
 
     /** The answer to a peer that reads the platform's objects here. */
-    public CompletableFuture<SmallAnswer> changesAnswer(QueryStringDecoder query) {
+    public CompletableFuture<SmallResponse> changesResponse(QueryStringDecoder query) {
         return reading.answer(query);
     }
 
@@ -232,7 +232,7 @@
      * comes once a second; meanwhile all of them together admit a flood several times over its
      * team's rate.
      */
-    private void sendPressedCounts() {
+    private void sendContendedUsage() {
         if (FleetGossip.isSmall(fleetSize())) {
             return;
         }
@@ -240,7 +240,7 @@
                 report.teams().stream()
                         .filter(use -> report.pressed().contains(use.getTeam()))
                         .toList();
-        if (pressed.isEmpty() && report.pressedLimits().isEmpty()) {
+        if (pressed.isEmpty() && report.contendedLimits().isEmpty()) {
             return;
         }
         VmState counts =
@@ -250,7 +250,7 @@
                         .setSequence(++sequence)
                         .setCountsOnly(true)
                         .addAllTeams(pressed)
-                        .addAllLimits(report.pressedLimits())
+                        .addAllLimits(report.contendedLimits())
                         .build();
         gossip.sendToAll(counts, members.addresses());
     }
@@ -261,7 +261,7 @@
 
     private void tellPeers() {
         gossip.send(ownState(), members.addresses());
-        sendPressedCounts();
+        sendContendedUsage();
     }
 
     private void takeReport(TrafficReport read) {
@@ -380,7 +380,7 @@
     }
 
     private void updateTraffic() {
-        TrafficUpdate update = updates.next(period.countDelayNanos(fleetSize()));
+        TrafficUpdate update = updates.next(period.propagationDelayNanos(fleetSize()));
         traffic.execute(() -> trafficState.apply(update));
     }
 
--- a/router/src/main/java/org/bronzelug/router/control/ControlState.java
+++ b/router/src/main/java/org/bronzelug/router/control/ControlState.java
@@ -146,7 +146,7 @@
      *     model's first new version counts as named seconds before it was, so all runners are too
      *     old for a request long before one has loaded it, and every request is refused.
      */
-    private void takeWeights(ObjectDecoder.NamedWeights named, long ageNanos) {
+    private void takeWeights(ObjectDecoder.AdvertisedWeights named, long ageNanos) {
         WeightsTarget known = weights.get(named.model());
         if (known != null && known.version() >= named.version()) {
             return;
--- a/router/src/main/java/org/bronzelug/router/control/EndpointList.java
+++ b/router/src/main/java/org/bronzelug/router/control/EndpointList.java
@@ -22,35 +22,35 @@
     private final Map<String, EndpointEntry> inUse = new HashMap<>();
     private final Map<String, Long> lapsedUntil = new HashMap<>();
     private final Map<String, Map<String, Long>> seenWeights = new HashMap<>();
-    private long regainedNanos = Long.MIN_VALUE;
+    private long recoveredNanos = Long.MIN_VALUE;
 
     /** The platform answers again, to this VM or to the one that it reads from, since a while. */
-    void platformRegainedBefore(long ageMillis, long nowNanos) {
+    void recordPlatformRecovery(long ageMillis, long nowNanos) {
         long since = nowNanos - ageMillis * NANOS_PER_MILLI;
-        if (regainedNanos == Long.MIN_VALUE || since > regainedNanos) {
-            regainedNanos = since;
+        if (recoveredNanos == Long.MIN_VALUE || since > recoveredNanos) {
+            recoveredNanos = since;
         }
     }
 
     /** How long ago the platform answered again; empty where that matters no more. */
     OptionalLong regainedAgeMillis(long nowNanos) {
-        return isJustBack(nowNanos)
-                ? OptionalLong.of((nowNanos - regainedNanos) / NANOS_PER_MILLI)
+        return isRecentlyRecovered(nowNanos)
+                ? OptionalLong.of((nowNanos - recoveredNanos) / NANOS_PER_MILLI)
                 : OptionalLong.empty();
     }
 
-    private boolean isJustBack(long nowNanos) {
-        return regainedNanos != Long.MIN_VALUE && nowNanos - regainedNanos < LAPSE_NANOS;
+    private boolean isRecentlyRecovered(long nowNanos) {
+        return recoveredNanos != Long.MIN_VALUE && nowNanos - recoveredNanos < LAPSE_NANOS;
     }
 
     /** Takes in the whole list. */
     void update(Map<String, EndpointEntry> listed, long nowNanos) {
-        boolean justBack = isJustBack(nowNanos);
+        boolean justBack = isRecentlyRecovered(nowNanos);
         for (EndpointEntry entry : Map.copyOf(inUse).values()) {
             if (listed.containsKey(entry.id())) {
                 lapsedUntil.remove(entry.id());
             } else if (justBack && !entry.draining()) {
-                lapsedUntil.putIfAbsent(entry.id(), regainedNanos + LAPSE_NANOS);
+                lapsedUntil.putIfAbsent(entry.id(), recoveredNanos + LAPSE_NANOS);
             } else if (!lapsedUntil.containsKey(entry.id())) {
                 remove(entry.id());
             }
--- a/router/src/main/java/org/bronzelug/router/control/FleetUpdates.java
+++ b/router/src/main/java/org/bronzelug/router/control/FleetUpdates.java
@@ -12,15 +12,15 @@
 import org.bronzelug.api.fleet.v1.OrderUnderWay;
 import org.bronzelug.api.fleet.v1.PrefixRead;
 import org.bronzelug.api.fleet.v1.TeamUse;
+import org.bronzelug.core.limit.AdvertisedLimit;
 import org.bronzelug.core.limit.EndpointLimit;
-import org.bronzelug.core.limit.NamedLimit;
-import org.bronzelug.core.limit.PeerCount;
+import org.bronzelug.core.limit.PeerBucketUsage;
 import org.bronzelug.router.fleet.Member;
 import org.bronzelug.router.fleet.MemberTable;
 import org.bronzelug.router.order.OrderService;
-import org.bronzelug.router.traffic.PeerLimitUse;
-import org.bronzelug.router.traffic.PeerTeamUse;
-import org.bronzelug.router.traffic.PeerUse;
+import org.bronzelug.router.traffic.PeerEndpointUsage;
+import org.bronzelug.router.traffic.PeerLimitUsage;
+import org.bronzelug.router.traffic.PeerTeamUsage;
 import org.bronzelug.router.traffic.TrafficUpdate;
 
 /**
@@ -53,18 +53,18 @@
     /**
      * The next update.
      *
-     * @param countDelayNanos until the count of one VM is known to all
+     * @param propagationDelayNanos until the count of one VM is known to all
      */
-    TrafficUpdate next(long countDelayNanos) {
+    TrafficUpdate next(long propagationDelayNanos) {
         long nowNanos = System.nanoTime();
-        Map<String, PeerUse> uses = new HashMap<>();
-        List<PeerTeamUse> teams = new ArrayList<>();
-        List<PeerLimitUse> limits = new ArrayList<>();
+        Map<String, PeerEndpointUsage> uses = new HashMap<>();
+        List<PeerTeamUsage> teams = new ArrayList<>();
+        List<PeerLimitUsage> limits = new ArrayList<>();
         List<PrefixRead> reads = new ArrayList<>();
         Set<String> ordered = new HashSet<>(orders.orderedEndpoints());
         for (Member member : members.live(nowNanos)) {
             addUses(member, uses);
-            if (member.heardNanos() >= lastNanos) {
+            if (member.receivedNanos() >= lastNanos) {
                 member.state()
                         .getTeamsList()
                         .forEach(use -> teams.add(teamUse(member, use, nowNanos)));
@@ -87,28 +87,28 @@
                 limits,
                 reads,
                 ordered,
-                members.heardPart(nowNanos),
+                members.reachableFraction(nowNanos),
                 1 + members.notGone(nowNanos).size(),
-                countDelayNanos);
+                propagationDelayNanos);
     }
 
-    private static void addUses(Member member, Map<String, PeerUse> uses) {
+    private static void addUses(Member member, Map<String, PeerEndpointUsage> uses) {
         for (EndpointUse use : member.state().getEndpointsList()) {
             uses.merge(
                     use.getEndpoint(),
-                    new PeerUse(use.getQueuedPrefillTokens(), use.getRequests()),
+                    new PeerEndpointUsage(use.getQueuedPrefillTokens(), use.getRequests()),
                     (left, right) -> left.plus(right.queuedPrefillTokens(), right.requests()));
         }
     }
 
-    private static PeerLimitUse limitUse(Member member, EndpointLimitUse use, long nowNanos) {
+    private static PeerLimitUsage limitUse(Member member, EndpointLimitUse use, long nowNanos) {
         long seenNanos =
-                member.heardNanos() - TimeUnit.MILLISECONDS.toNanos(use.getSeenAgeMillis());
-        NamedLimit limit =
+                member.receivedNanos() - TimeUnit.MILLISECONDS.toNanos(use.getSeenAgeMillis());
+        AdvertisedLimit limit =
                 use.getNamed()
-                        ? new NamedLimit.Rate(use.getRequestsPerSecond())
-                        : new NamedLimit.None();
-        return new PeerLimitUse(
+                        ? new AdvertisedLimit.Rate(use.getRequestsPerSecond())
+                        : new AdvertisedLimit.None();
+        return new PeerLimitUsage(
                 member.state().getVm(),
                 member.state().getIncarnation(),
                 use.getEndpoint(),
@@ -118,18 +118,18 @@
                 new EndpointLimit.Count(use.getAdmitted(), use.getOffered(), use.getLevel()));
     }
 
-    private PeerTeamUse teamUse(Member member, TeamUse use, long nowNanos) {
-        long heardMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - member.heardNanos());
+    private PeerTeamUsage teamUse(Member member, TeamUse use, long nowNanos) {
+        long heardMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - member.receivedNanos());
         long peerAgeMillis = member.state().getAgeMillis() + heardMillis;
         long ageMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - startNanos);
-        PeerCount count =
-                new PeerCount(
+        PeerBucketUsage count =
+                new PeerBucketUsage(
                         member.state().getVm(),
                         member.state().getIncarnation(),
                         use.getAdmittedTokens(),
                         use.getOfferedTokens(),
                         use.getLevelTokens(),
                         peerAgeMillis < ageMillis + SAME_START_MILLIS);
-        return new PeerTeamUse(use.getTeam(), count);
+        return new PeerTeamUsage(use.getTeam(), count);
     }
 }
--- a/router/src/main/java/org/bronzelug/router/control/KindWatch.java
+++ b/router/src/main/java/org/bronzelug/router/control/KindWatch.java
@@ -32,13 +32,13 @@
      * After a change, others are let gather before the next watch, since each watch is paid for and
      * changes come in rows: runners that load weights, versions in quick succession.
      */
-    private static final long GATHER_MILLIS = 150;
+    private static final long BATCH_MILLIS = 150;
 
     /**
      * While one change follows another, the pause doubles up to this: a seventh of the shortest
      * time in which a change must be in force everywhere.
      */
-    private static final long LONGEST_GATHER_MILLIS = 300;
+    private static final long MAXIMUM_BATCH_MILLIS = 300;
 
     /** A change that comes within this of the watch's start follows the one before. */
     private static final long FOLLOWING_NANOS = 1_000_000_000L;
@@ -54,7 +54,7 @@
     private final ObjectMirror mirror;
     private final Listener listener;
     private long pauseMillis = FIRST_PAUSE_MILLIS;
-    private long gatherMillis = GATHER_MILLIS;
+    private long batchMillis = BATCH_MILLIS;
     private long watchedSinceNanos;
     private boolean reachable = true;
     private boolean paused = true;
@@ -228,9 +228,8 @@
             listener.onChange(kind);
         }
         boolean following = System.nanoTime() - watchedSinceNanos < FOLLOWING_NANOS;
-        gatherMillis =
-                following ? Math.min(LONGEST_GATHER_MILLIS, gatherMillis * 2) : GATHER_MILLIS;
-        later(() -> watch(changes.revision()), gatherMillis);
+        batchMillis = following ? Math.min(MAXIMUM_BATCH_MILLIS, batchMillis * 2) : BATCH_MILLIS;
+        later(() -> watch(changes.revision()), batchMillis);
     }
 
     private void watchFailed(Throwable failure, long revision) {
--- a/router/src/main/java/org/bronzelug/router/control/ObjectDecoder.java
+++ b/router/src/main/java/org/bronzelug/router/control/ObjectDecoder.java
@@ -27,7 +27,7 @@
     Optional<EndpointEntry> endpoint(StoredItem item);
 
     /** The newest weights of one model. */
-    Optional<NamedWeights> weights(StoredItem item);
+    Optional<AdvertisedWeights> weights(StoredItem item);
 
     /**
      * Weights that all runners are to have.
@@ -35,5 +35,5 @@
      * @param model its name
      * @param version grows with each naming
      */
-    record NamedWeights(String model, long version) {}
+    record AdvertisedWeights(String model, long version) {}
 }
--- a/router/src/main/java/org/bronzelug/router/control/PeerFeed.java
+++ b/router/src/main/java/org/bronzelug/router/control/PeerFeed.java
@@ -14,7 +14,7 @@
 import org.bronzelug.api.fleet.v1.KindChanges;
 import org.bronzelug.api.fleet.v1.ObjectChanges;
 import org.bronzelug.api.fleet.v1.StoredObject;
-import org.bronzelug.router.http.HttpResponder.SmallAnswer;
+import org.bronzelug.router.http.HttpResponder.SmallResponse;
 import org.bronzelug.router.store.ItemChanges;
 import org.bronzelug.router.store.ObjectMirror;
 import org.bronzelug.router.store.StoredItem;
@@ -48,7 +48,7 @@
     /**
      * @param query path and query of a peer's read: the wait, and a revision for each kind known
      */
-    CompletableFuture<SmallAnswer> answer(QueryStringDecoder query) {
+    CompletableFuture<SmallResponse> answer(QueryStringDecoder query) {
         Map<String, Long> known = new HashMap<>();
         long waitMillis = 0;
         for (Map.Entry<String, List<String>> parameter : query.parameters().entrySet()) {
@@ -105,7 +105,8 @@
             }
         }
         peer.answer.complete(
-                new SmallAnswer(SUCCESS, "application/x-protobuf", changes.build().toByteArray()));
+                new SmallResponse(
+                        SUCCESS, "application/x-protobuf", changes.build().toByteArray()));
     }
 
     private static KindChanges changes(String kind, ObjectMirror mirror, long sinceRevision) {
@@ -140,9 +141,9 @@
     /** A peer that is to be told of changes after the revisions that it knows. */
     private final class Waiting {
         private final Map<String, Long> known;
-        private final CompletableFuture<SmallAnswer> answer;
+        private final CompletableFuture<SmallResponse> answer;
 
-        private Waiting(Map<String, Long> known, CompletableFuture<SmallAnswer> answer) {
+        private Waiting(Map<String, Long> known, CompletableFuture<SmallResponse> answer) {
             this.known = known;
             this.answer = answer;
         }
--- a/router/src/main/java/org/bronzelug/router/control/PeerReader.java
+++ b/router/src/main/java/org/bronzelug/router/control/PeerReader.java
@@ -90,7 +90,7 @@
         }
         if (changes.getRegainedAgeMillis() >= 0) {
             state.endpointList()
-                    .platformRegainedBefore(changes.getRegainedAgeMillis(), System.nanoTime());
+                    .recordPlatformRecovery(changes.getRegainedAgeMillis(), System.nanoTime());
         }
         for (KindChanges kind : changes.getKindsList()) {
             ObjectMirror mirror = state.mirror(kind.getKind());
--- a/router/src/main/java/org/bronzelug/router/control/PlatformReading.java
+++ b/router/src/main/java/org/bronzelug/router/control/PlatformReading.java
@@ -18,7 +18,7 @@
 import org.bronzelug.router.fleet.Member;
 import org.bronzelug.router.fleet.MemberTable;
 import org.bronzelug.router.http.HttpCaller;
-import org.bronzelug.router.http.HttpResponder.SmallAnswer;
+import org.bronzelug.router.http.HttpResponder.SmallResponse;
 import org.bronzelug.router.settings.VmSettings;
 import org.bronzelug.router.store.ObjectStore;
 
@@ -174,7 +174,7 @@
     }
 
     /** The answer to a peer's read. */
-    CompletableFuture<SmallAnswer> answer(QueryStringDecoder query) {
+    CompletableFuture<SmallResponse> answer(QueryStringDecoder query) {
         return feed.answer(query);
     }
 
@@ -327,7 +327,7 @@
     @Override
     public void onReachable(String kind, boolean reachable) {
         if (reachable && !isLost()) {
-            state.endpointList().platformRegainedBefore(0, System.nanoTime());
+            state.endpointList().recordPlatformRecovery(0, System.nanoTime());
         }
     }
 
--- a/router/src/main/java/org/bronzelug/router/control/RoundPeriod.java
+++ b/router/src/main/java/org/bronzelug/router/control/RoundPeriod.java
@@ -27,7 +27,7 @@
     private static final int IDLE_ROUNDS = 4;
 
     /** Rounds in which a count reaches all VMs and their traffic threads. */
-    private static final int COUNT_DELAY_ROUNDS = 3;
+    private static final int PROPAGATION_DELAY_ROUNDS = 3;
 
     private int quietRounds;
 
@@ -49,7 +49,7 @@
     }
 
     /** How long a count of this VM travels until all VMs reckon with it. */
-    long countDelayNanos(int fleetSize) {
-        return TimeUnit.MILLISECONDS.toNanos((long) COUNT_DELAY_ROUNDS * millis(fleetSize));
+    long propagationDelayNanos(int fleetSize) {
+        return TimeUnit.MILLISECONDS.toNanos((long) PROPAGATION_DELAY_ROUNDS * millis(fleetSize));
     }
 }
--- a/router/src/main/java/org/bronzelug/router/control/TrafficReport.java
+++ b/router/src/main/java/org/bronzelug/router/control/TrafficReport.java
@@ -10,8 +10,8 @@
 import org.bronzelug.api.fleet.v1.EndpointWeights;
 import org.bronzelug.api.fleet.v1.PrefixRead;
 import org.bronzelug.api.fleet.v1.TeamUse;
+import org.bronzelug.core.limit.AdvertisedLimit;
 import org.bronzelug.core.limit.EndpointLimit;
-import org.bronzelug.core.limit.NamedLimit;
 import org.bronzelug.core.placement.RunnerLoad;
 import org.bronzelug.router.traffic.EndpointState;
 import org.bronzelug.router.traffic.TrafficState;
@@ -27,7 +27,7 @@
  * @param doubted ids of runners that refused the weights believed of them
  * @param pressed names of teams near their limit
  * @param limits endpoints that have named a limit
- * @param pressedLimits those of them that this VM has sent requests to since the report before
+ * @param contendedLimits those of them that this VM has sent requests to since the report before
  */
 record TrafficReport(
         List<TeamUse> teams,
@@ -38,7 +38,7 @@
         List<String> doubted,
         Set<String> pressed,
         List<EndpointLimitUse> limits,
-        List<EndpointLimitUse> pressedLimits) {
+        List<EndpointLimitUse> contendedLimits) {
     /** Before anything is known. */
     static TrafficReport none() {
         return new TrafficReport(
@@ -76,7 +76,7 @@
                         .toList();
         List<String> doubted =
                 state.endpoints().all().stream()
-                        .filter(endpoint -> endpoint.areWeightsDoubted(nowNanos))
+                        .filter(endpoint -> endpoint.areWeightsUnknown(nowNanos))
                         .map(endpoint -> endpoint.entry().id())
                         .toList();
         List<PrefixRead> reads = state.choice().readsToTell(nowNanos);
@@ -87,15 +87,15 @@
                         .collect(Collectors.toSet());
         Set<String> pressed = state.rates().pressed(nowNanos);
         List<EndpointLimitUse> limits = new ArrayList<>();
-        List<EndpointLimitUse> pressedLimits = new ArrayList<>();
+        List<EndpointLimitUse> contendedLimits = new ArrayList<>();
         for (EndpointState endpoint : state.endpoints().all()) {
             endpoint.limit()
                     .ifPresent(
                             limit -> {
                                 EndpointLimitUse use = limitUse(endpoint, limit, nowNanos);
                                 limits.add(use);
-                                if (limit.hasCountChanged()) {
-                                    pressedLimits.add(use);
+                                if (limit.hasUsageChanged()) {
+                                    contendedLimits.add(use);
                                 }
                             });
         }
@@ -108,7 +108,7 @@
                 doubted,
                 pressed,
                 limits,
-                pressedLimits);
+                contendedLimits);
     }
 
     private static EndpointLimitUse limitUse(
@@ -123,7 +123,7 @@
                         .setAdmitted(count.admitted())
                         .setOffered(count.offered())
                         .setLevel(count.level());
-        if (limit.limit() instanceof NamedLimit.Rate rate) {
+        if (limit.limit() instanceof AdvertisedLimit.Rate rate) {
             use.setNamed(true).setRequestsPerSecond(rate.requestsPerSecond());
         }
         return use.build();
--- a/router/src/main/java/org/bronzelug/router/endpoint/EndpointCall.java
+++ b/router/src/main/java/org/bronzelug/router/endpoint/EndpointCall.java
@@ -12,11 +12,11 @@
 public final class EndpointCall {
     private final FullHttpRequest request;
     private final String requestId;
-    private final AnswerListener listener;
+    private final ResponseListener listener;
     private Optional<EndpointConnection> connection = Optional.empty();
     private boolean cancelled;
 
-    EndpointCall(FullHttpRequest request, String requestId, AnswerListener listener) {
+    EndpointCall(FullHttpRequest request, String requestId, ResponseListener listener) {
         this.request = request;
         this.requestId = requestId;
         this.listener = listener;
--- a/router/src/main/java/org/bronzelug/router/endpoint/EndpointConnection.java
+++ b/router/src/main/java/org/bronzelug/router/endpoint/EndpointConnection.java
@@ -29,7 +29,7 @@
     private final WireFormat wire;
     private final Consumer<EndpointConnection> onIdle;
     private Channel channel;
-    private Optional<AnswerListener> listener = Optional.empty();
+    private Optional<ResponseListener> listener = Optional.empty();
     private Optional<ChannelFuture> written = Optional.empty();
     private String requestId = "";
     private boolean reusable = true;
@@ -48,7 +48,7 @@
     }
 
     /** Sends a request; the listener hears of its answer. */
-    void send(FullHttpRequest request, String id, AnswerListener answerListener) {
+    void send(FullHttpRequest request, String id, ResponseListener answerListener) {
         listener = Optional.of(answerListener);
         requestId = id;
         headSeen = false;
@@ -106,7 +106,7 @@
             skipping = true;
             return;
         }
-        EndpointAnswer answer = wire.decodeAnswer(response);
+        EndpointResponse answer = wire.decodeResponse(response);
         if (answer.requestId().isPresent() && !answer.requestId().get().equals(requestId)) {
             skipping = true;
             reusable = false;
@@ -136,7 +136,7 @@
     }
 
     private void complete() {
-        Optional<AnswerListener> hearing = listener;
+        Optional<ResponseListener> hearing = listener;
         listener = Optional.empty();
         boolean whole = written.map(ChannelFuture::isSuccess).orElse(false);
         reusable &= whole && channel.isActive();
@@ -146,11 +146,11 @@
         } else {
             channel.close();
         }
-        hearing.ifPresent(AnswerListener::onComplete);
+        hearing.ifPresent(ResponseListener::onComplete);
     }
 
     private void fail(String cause) {
-        Optional<AnswerListener> hearing = listener;
+        Optional<ResponseListener> hearing = listener;
         listener = Optional.empty();
         close();
         hearing.ifPresent(waiting -> waiting.onBroken(cause));
--- a/router/src/main/java/org/bronzelug/router/endpoint/EndpointConnections.java
+++ b/router/src/main/java/org/bronzelug/router/endpoint/EndpointConnections.java
@@ -41,7 +41,7 @@
 
     /** Sends a request on a kept connection, or on a new one. */
     public EndpointCall send(
-            FullHttpRequest request, String requestId, AnswerListener listener, long nowNanos) {
+            FullHttpRequest request, String requestId, ResponseListener listener, long nowNanos) {
         EndpointCall call = new EndpointCall(request, requestId, listener);
         while (!idle.isEmpty()) {
             EndpointConnection kept = idle.pollFirst();
--- a/router/src/main/java/org/bronzelug/router/endpoint/EndpointAnswer.java
+++ b/router/src/main/java/org/bronzelug/router/endpoint/EndpointResponse.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.bronzelug.core.limit.NamedLimit;
+import org.bronzelug.core.limit.AdvertisedLimit;
 
 /**
  * What the engine needs to know of an answer's head. Immutable.
@@ -18,14 +18,14 @@
  * @param idleMillis for how long the endpoint keeps the connection open between requests
  * @param keepsOpen whether the connection takes another request afterwards
  */
-public record EndpointAnswer(
+public record EndpointResponse(
         int status,
         Optional<String> requestId,
         Optional<String> endpointId,
         boolean genuine,
         boolean notExecuted,
         Optional<EndpointLoad> load,
-        NamedLimit limit,
+        AdvertisedLimit limit,
         OptionalLong weightsVersion,
         OptionalLong idleMillis,
         boolean keepsOpen) {
--- a/router/src/main/java/org/bronzelug/router/endpoint/AnswerListener.java
+++ b/router/src/main/java/org/bronzelug/router/endpoint/ResponseListener.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /** Hears of one request at one endpoint, on the traffic thread. One of the ends is called once. */
-public interface AnswerListener {
+public interface ResponseListener {
     /**
      * A connection is open and the request is about to be written: the last moment to correct or
      * withhold it, since it may have waited for the connection.
@@ -21,7 +21,7 @@
     void onSent();
 
     /** The answer's head. */
-    void onHead(EndpointAnswer answer, HttpResponse response);
+    void onHead(EndpointResponse answer, HttpResponse response);
 
     /** A part of the body; the listener releases it. */
     void onData(ByteBuf data);
--- a/router/src/main/java/org/bronzelug/router/exchange/Attempts.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Attempts.java
@@ -2,8 +2,8 @@
 
 import java.util.HashSet;
 import java.util.Set;
-import org.bronzelug.core.retry.RepeatKind;
-import org.bronzelug.core.routing.RepeatPolicy;
+import org.bronzelug.core.retry.RetryKind;
+import org.bronzelug.core.routing.RetryPolicy;
 import org.bronzelug.router.traffic.EndpointState;
 import org.bronzelug.router.traffic.TrafficState;
 
@@ -53,24 +53,24 @@
 
     /** Whether a request that ran nowhere may be sent to one more endpoint; takes the budget. */
     boolean tryAfterRefusal() {
-        return sends < MAXIMUM_SENDS && takeRepeat(RepeatKind.REQUIRED);
+        return sends < MAXIMUM_SENDS && takeRetry(RetryKind.REQUIRED);
     }
 
     /** Whether a request that may have run may be sent to one more endpoint; takes the budget. */
-    boolean tryRepeat() {
-        return isRepeatable() && takeRepeat(RepeatKind.REQUIRED);
+    boolean tryRetry() {
+        return isRetryable() && takeRetry(RetryKind.REQUIRED);
     }
 
     /** Whether the route allows one more endpoint for a request that may have run. */
-    boolean isRepeatable() {
-        boolean repeatable = admitted.route().repeat() != RepeatPolicy.AT_MOST_ONCE;
+    boolean isRetryable() {
+        boolean repeatable = admitted.route().repeat() != RetryPolicy.AT_MOST_ONCE;
         return repeatable && sentTo.size() < admitted.route().maximumAttempts();
     }
 
     /** Takes one repeat out of the budget, if it is there. */
-    boolean takeRepeat(RepeatKind kind) {
+    boolean takeRetry(RetryKind kind) {
         return admitted.pool()
-                .map(pool -> state.tryRepeat(kind, pool.name(), System.nanoTime()))
+                .map(pool -> state.tryRetry(kind, pool.name(), System.nanoTime()))
                 .orElse(false);
     }
 }
--- a/router/src/main/java/org/bronzelug/router/exchange/EndpointSelection.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/EndpointSelection.java
@@ -45,19 +45,19 @@
     Optional<EndpointState> choose(long nowNanos) {
         limited.clear();
         Optional<EndpointState> best = best(nowNanos);
-        while (best.isPresent() && !isRejected() && !tryTake(best.get(), nowNanos)) {
+        while (best.isPresent() && !isRejected() && !tryAcquire(best.get(), nowNanos)) {
             limited.add(best.get());
             best = best(nowNanos);
         }
         return best;
     }
 
-    private boolean tryTake(EndpointState endpoint, long nowNanos) {
+    private boolean tryAcquire(EndpointState endpoint, long nowNanos) {
         Optional<EndpointLimit> limit = endpoint.limit().filter(EndpointLimit::isNamed);
         double draw = ThreadLocalRandom.current().nextDouble();
         boolean takes =
                 limit.isEmpty()
-                        || limit.get().tryTake(size(), hasUnlimited(nowNanos), draw, nowNanos);
+                        || limit.get().tryAcquire(size(), hasUnlimited(nowNanos), draw, nowNanos);
         if (takes) {
             taken = limit;
         }
@@ -79,8 +79,8 @@
     }
 
     /** The request did not reach the endpoint that was chosen last. */
-    void giveBack(long nowNanos) {
-        taken.ifPresent(limit -> limit.giveBack(nowNanos));
+    void refund(long nowNanos) {
+        taken.ifPresent(limit -> limit.refund(nowNanos));
         taken = Optional.empty();
     }
 
@@ -112,7 +112,7 @@
         EndpointPool pool = admitted.pool().get();
         Optional<PromptSpec> prompt = admitted.head().prompt();
         if (pool.engine().isEmpty() || prompt.isEmpty()) {
-            return state.choice().leastLoaded(pool.name(), this::isAllowed, nowNanos);
+            return state.choice().leastLoadedEndpoint(pool.name(), this::isAllowed, nowNanos);
         }
         runner =
                 state.choice()
--- a/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
@@ -9,12 +9,12 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
-import org.bronzelug.core.retry.RepeatKind;
-import org.bronzelug.core.routing.RepeatPolicy;
+import org.bronzelug.core.retry.RetryKind;
+import org.bronzelug.core.routing.RetryPolicy;
 import org.bronzelug.core.routing.Route;
-import org.bronzelug.router.endpoint.AnswerListener;
-import org.bronzelug.router.endpoint.EndpointAnswer;
 import org.bronzelug.router.endpoint.EndpointCall;
+import org.bronzelug.router.endpoint.EndpointResponse;
+import org.bronzelug.router.endpoint.ResponseListener;
 import org.bronzelug.router.ingress.CallerConnection;
 import org.bronzelug.router.ingress.CallerListener;
 import org.bronzelug.router.metrics.RouterMetrics;
@@ -28,7 +28,7 @@
  * again only where its route allows that; and "not run" is said only where it holds for all
  * attempts. Confined to the traffic thread.
  */
-final class Exchange implements AnswerListener, CallerListener, EndpointState.DrainListener {
+final class Exchange implements ResponseListener, CallerListener, EndpointState.DrainListener {
     private static final int BAD_GATEWAY = 502;
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
@@ -62,7 +62,7 @@
     private final FullHttpRequest request;
     private final CallerConnection caller;
     private final Admitted admitted;
-    private final AnswerRelay relay;
+    private final ResponseRelay relay;
     private int resumePauses;
     private final EndpointSelection selection;
     private final Attempts attempts;
@@ -99,7 +99,7 @@
         this.prefill = new PrefillProgress(state, admitted);
         this.silence = new SilenceWatch(traffic, this::leaveSilent);
         this.log = new ExchangeLog(admitted);
-        this.relay = new AnswerRelay(caller, wire, admitted.route());
+        this.relay = new ResponseRelay(caller, wire, admitted.route());
     }
 
     private Route route() {
@@ -117,7 +117,7 @@
                         traffic.schedule(this::onTimeout, timeoutMillis, TimeUnit.MILLISECONDS));
         admitted.pool()
                 .ifPresent(pool -> state.recordFirstAttempt(pool.name(), admitted.arrivedNanos()));
-        if (route().repeat() != RepeatPolicy.AT_MOST_ONCE) {
+        if (route().repeat() != RetryPolicy.AT_MOST_ONCE) {
             silence.start();
         }
         dispatch();
@@ -149,7 +149,7 @@
     /** Sends to an endpoint that was chosen. */
     private void send(EndpointState chosen, long nowNanos) {
         endpoint = Optional.of(chosen);
-        chargeRepeat();
+        chargeRetry();
         selection.recordTried(chosen);
         chosen.begin(this, nowNanos);
         sentNanos = nowNanos;
@@ -172,7 +172,7 @@
     }
 
     /** A request that may have run before counts once more against its team's rate. */
-    private void chargeRepeat() {
+    private void chargeRetry() {
         if (attempts.mayHaveRun()) {
             admitted.team().ifPresent(team -> state.rates().charge(team, admitted.tokens()));
         }
@@ -182,7 +182,7 @@
     public boolean beforeSend(HttpHeaders headers) {
         long nowNanos = System.nanoTime();
         if (requests.isExpired(nowNanos)) {
-            selection.giveBack(nowNanos);
+            selection.refund(nowNanos);
             leaveEndpoint();
             giveUp(DEADLINE_PASSED);
             return false;
@@ -193,7 +193,7 @@
 
     @Override
     public void onUnreachable(String cause) {
-        selection.giveBack(System.nanoTime());
+        selection.refund(System.nanoTime());
         EndpointState failed = leaveEndpoint();
         failed.recordFailure(System.nanoTime());
         log.moved(failed, attempts.sends(), "unreachable: " + cause);
@@ -206,7 +206,7 @@
     }
 
     @Override
-    public void onHead(EndpointAnswer answer, HttpResponse response) {
+    public void onHead(EndpointResponse answer, HttpResponse response) {
         EndpointState answering = endpoint.orElseThrow();
         answering.recordAnswer(answer);
         answering.heard(System.nanoTime());
@@ -218,7 +218,7 @@
         boolean spoiled = answer.isSuccess() && !answer.genuine();
         boolean failed = spoiled || answer.isServerError();
         if (failed) {
-            Optional<EndpointState> other = takeOther(RepeatKind.REQUIRED);
+            Optional<EndpointState> other = takeOther(RetryKind.REQUIRED);
             if (other.isPresent()) {
                 cancelCall();
                 answering.recordFailure(System.nanoTime());
@@ -237,12 +237,12 @@
     }
 
     /** The endpoint states that nothing ran: the request may go elsewhere, within the budget. */
-    private void onNotExecuted(EndpointAnswer answer) {
+    private void onNotExecuted(EndpointResponse answer) {
         cancelCall();
         EndpointState refusing = leaveEndpoint();
         attempts.recordNotExecuted(refusing);
         if (answer.status() == MISDIRECTED) {
-            refusing.doubtWeights(System.nanoTime());
+            refusing.markWeightsUnknown(System.nanoTime());
         } else {
             refusing.recordFailure(System.nanoTime());
         }
@@ -290,7 +290,7 @@
             return;
         }
         relay.reset();
-        if (attempts.tryRepeat()) {
+        if (attempts.tryRetry()) {
             log.moved(broken, attempts.sends(), cause);
             dispatch();
             return;
@@ -300,7 +300,7 @@
 
     /** The answer has begun: a stream goes on elsewhere if it may, anything else is broken off. */
     private void resumeOrAbort(String cause) {
-        if (relay.prepareResume() && attempts.tryRepeat()) {
+        if (relay.prepareResume() && attempts.tryRetry()) {
             log.streamMoved(cause);
             dispatch();
             return;
@@ -330,7 +330,7 @@
         if (done) {
             return;
         }
-        if (attempts.takeRepeat(RepeatKind.REQUIRED)) {
+        if (attempts.takeRetry(RetryKind.REQUIRED)) {
             dispatch();
         } else {
             giveUp("no repeat left for the stream");
@@ -339,7 +339,7 @@
 
     private void leaveSilent() {
         if (endpoint.filter(waiting -> isOverdue(waiting, System.nanoTime())).isPresent()) {
-            moveOn("endpoint is silent", RepeatKind.REQUIRED);
+            moveOn("endpoint is silent", RetryKind.REQUIRED);
         }
     }
 
@@ -355,8 +355,8 @@
     /** Moves a resumable stream to another runner, so that this one loads weights sooner. */
     @Override
     public void onDrain() {
-        if (route().repeat() == RepeatPolicy.RESUMABLE) {
-            moveOn("runner loads weights", RepeatKind.BY_CHOICE);
+        if (route().repeat() == RetryPolicy.RESUMABLE) {
+            moveOn("runner loads weights", RetryKind.BY_CHOICE);
         }
     }
 
@@ -364,21 +364,21 @@
      * An endpoint that takes the request now, for one that may be repeated; it is chosen before the
      * answer that is under way is given up, as there may be none.
      */
-    private Optional<EndpointState> takeOther(RepeatKind kind) {
+    private Optional<EndpointState> takeOther(RetryKind kind) {
         long nowNanos = System.nanoTime();
-        if (!attempts.isRepeatable() || requests.isExpired(nowNanos)) {
+        if (!attempts.isRetryable() || requests.isExpired(nowNanos)) {
             return Optional.empty();
         }
         Optional<EndpointState> other = selection.choose(nowNanos);
-        if (other.isPresent() && !attempts.takeRepeat(kind)) {
-            selection.giveBack(nowNanos);
+        if (other.isPresent() && !attempts.takeRetry(kind)) {
+            selection.refund(nowNanos);
             return Optional.empty();
         }
         return other;
     }
 
     /** Goes to another endpoint if that is allowed and one takes the request; otherwise stays. */
-    private void moveOn(String cause, RepeatKind kind) {
+    private void moveOn(String cause, RetryKind kind) {
         boolean possible = !relay.hasBegun() || relay.canResume();
         Optional<EndpointState> other = possible ? takeOther(kind) : Optional.empty();
         if (other.isEmpty()) {
@@ -433,16 +433,16 @@
 
     /** Refuses what has run nowhere, and gives its tokens back. */
     private void refuseUnrun(String reason, long retryAfterMillis) {
-        admitted.team().ifPresent(team -> state.rates().giveBack(team, admitted.tokens()));
+        admitted.team().ifPresent(team -> state.rates().refund(team, admitted.tokens()));
         metrics.refused(UNAVAILABLE);
         finish(String.valueOf(UNAVAILABLE), reason);
-        caller.refuse(Refusal.retryLater(UNAVAILABLE, reason, "retry later", retryAfterMillis));
+        caller.refuse(Rejection.retryLater(UNAVAILABLE, reason, "retry later", retryAfterMillis));
     }
 
     private void fail(int status, String reason) {
         metrics.failed(status);
         finish(String.valueOf(status), reason);
-        caller.refuse(Refusal.of(status, reason, "the request may have run"));
+        caller.refuse(Rejection.of(status, reason, "the request may have run"));
     }
 
     @Override
--- a/router/src/main/java/org/bronzelug/router/exchange/Forwarder.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Forwarder.java
@@ -83,9 +83,9 @@
         try {
             head = wire.decodeRequest(request);
         } catch (MalformedRequestException malformed) {
-            Refusal refusal =
-                    Refusal.of(BAD_REQUEST, malformed.getMessage(), "correct the request");
-            return refuse("-", request, caller, refusal.closing());
+            Rejection rejection =
+                    Rejection.of(BAD_REQUEST, malformed.getMessage(), "correct the request");
+            return refuse("-", request, caller, rejection.closing());
         }
         metrics.arrived();
         Optional<RoutingConfiguration> known = state.configuration();
@@ -94,7 +94,7 @@
                     head.id(),
                     request,
                     caller,
-                    Refusal.retryLater(
+                    Rejection.retryLater(
                             UNAVAILABLE,
                             "no configuration known yet",
                             "retry later",
@@ -115,7 +115,7 @@
                     head.id(),
                     request,
                     caller,
-                    Refusal.of(NOT_FOUND, "no route", "check host and path"));
+                    Rejection.of(NOT_FOUND, "no route", "check host and path"));
         }
         Optional<Team> team = head.key().map(KeyDigest::of).flatMap(configuration::teamOf);
         boolean keyed = configuration.needsKeys() && !route.get().anonymous();
@@ -124,11 +124,11 @@
                     head.id(),
                     request,
                     caller,
-                    Refusal.of(UNAUTHORIZED, "unknown key", "present a key of a team"));
+                    Rejection.of(UNAUTHORIZED, "unknown key", "present a key of a team"));
         }
         Optional<Team> charged = keyed ? team : Optional.empty();
         long tokens = charged.map(present -> tokens(head, present)).orElse(0L);
-        if (charged.isPresent() && !state.rates().tryTake(charged.get(), tokens, arrivedNanos)) {
+        if (charged.isPresent() && !state.rates().tryAcquire(charged.get(), tokens, arrivedNanos)) {
             metrics.refusedOverRate();
             return refuse(
                     head.id(), request, caller, overRate(charged.get(), tokens, arrivedNanos));
@@ -155,9 +155,9 @@
         return head.prompt().map(PromptSpec::totalTokens).orElse(team.plainTokens());
     }
 
-    private Refusal overRate(Team team, long tokens, long nowNanos) {
+    private Rejection overRate(Team team, long tokens, long nowNanos) {
         long millis = state.rates().nanosUntil(team, tokens, nowNanos) / NANOS_PER_MILLI + 1;
-        return Refusal.retryLater(
+        return Rejection.retryLater(
                 TOO_MANY,
                 "team " + team.name() + " over its rate by " + tokens + " tokens",
                 "retry later",
@@ -165,20 +165,20 @@
     }
 
     private CallerListener refuse(
-            String id, FullHttpRequest request, CallerConnection caller, Refusal refusal) {
+            String id, FullHttpRequest request, CallerConnection caller, Rejection rejection) {
         request.release();
-        metrics.refused(refusal.status());
+        metrics.refused(rejection.status());
         EventLog.info(
                 LogEvent.REQUEST_REFUSED,
                 "request="
                         + id
                         + " status="
-                        + refusal.status()
+                        + rejection.status()
                         + " reason=\""
-                        + refusal.reason()
+                        + rejection.reason()
                         + "\" configuration="
                         + state.configuration().map(RoutingConfiguration::version).orElse(0L));
-        caller.refuse(refusal);
+        caller.refuse(rejection);
         return NOTHING;
     }
 }
--- a/router/src/main/java/org/bronzelug/router/exchange/PrefillProgress.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/PrefillProgress.java
@@ -1,7 +1,7 @@
 package org.bronzelug.router.exchange;
 
 import java.util.Optional;
-import org.bronzelug.router.endpoint.EndpointAnswer;
+import org.bronzelug.router.endpoint.EndpointResponse;
 import org.bronzelug.router.traffic.EndpointState;
 import org.bronzelug.router.traffic.RunnerChoice;
 import org.bronzelug.router.traffic.TrafficState;
@@ -40,7 +40,7 @@
     }
 
     /** The head of an answer shows which weights the runner has. */
-    void answered(EndpointState answering, EndpointAnswer answer) {
+    void answered(EndpointState answering, EndpointResponse answer) {
         if (runner.isPresent()) {
             String model = model();
             answer.weightsVersion().ifPresent(version -> answering.recordWeights(model, version));
--- a/router/src/main/java/org/bronzelug/router/exchange/Refusal.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Rejection.java
@@ -12,19 +12,19 @@
  * @param retryAfterMillis when to retry
  * @param close whether the connection's state is uncertain, so that it ends after the answer
  */
-public record Refusal(
+public record Rejection(
         int status, String reason, String remedy, OptionalLong retryAfterMillis, boolean close) {
-    public static Refusal of(int status, String reason, String remedy) {
-        return new Refusal(status, reason, remedy, OptionalLong.empty(), false);
+    public static Rejection of(int status, String reason, String remedy) {
+        return new Rejection(status, reason, remedy, OptionalLong.empty(), false);
     }
 
-    public static Refusal retryLater(
+    public static Rejection retryLater(
             int status, String reason, String remedy, long retryAfterMillis) {
-        return new Refusal(status, reason, remedy, OptionalLong.of(retryAfterMillis), false);
+        return new Rejection(status, reason, remedy, OptionalLong.of(retryAfterMillis), false);
     }
 
     /** The same answer, after which the connection ends. */
-    public Refusal closing() {
-        return new Refusal(status, reason, remedy, retryAfterMillis, true);
+    public Rejection closing() {
+        return new Rejection(status, reason, remedy, retryAfterMillis, true);
     }
 }
--- a/router/src/main/java/org/bronzelug/router/exchange/AnswerRelay.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/ResponseRelay.java
@@ -7,9 +7,9 @@
 import io.netty.handler.codec.http.HttpUtil;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.bronzelug.core.routing.RepeatPolicy;
+import org.bronzelug.core.routing.RetryPolicy;
 import org.bronzelug.core.routing.Route;
-import org.bronzelug.router.endpoint.EndpointAnswer;
+import org.bronzelug.router.endpoint.EndpointResponse;
 import org.bronzelug.router.ingress.CallerConnection;
 import org.bronzelug.router.stream.EventSplitter;
 
@@ -20,7 +20,7 @@
  * until it is whole, so that a torn one can be replaced by another endpoint's, up to a size beyond
  * which it passes as it arrives too. Confined to the traffic thread.
  */
-final class AnswerRelay {
+final class ResponseRelay {
     /** Answers of plain services are about a kilobyte; more is not held in memory. */
     private static final int MAXIMUM_HELD_BYTES = 65_536;
 
@@ -34,7 +34,7 @@
     private boolean splitting;
     private boolean begun;
 
-    AnswerRelay(CallerConnection caller, WireFormat wire, Route route) {
+    ResponseRelay(CallerConnection caller, WireFormat wire, Route route) {
         this.caller = caller;
         this.wire = wire;
         this.route = route;
@@ -55,14 +55,14 @@
     }
 
     /** Takes the head of an answer; of a resumed stream, the first runner's stays. */
-    void begin(EndpointAnswer answer, HttpResponse response) {
+    void begin(EndpointResponse answer, HttpResponse response) {
         if (begun) {
             return;
         }
         status = answer.status();
         headers = Optional.of(wire.callerHeaders(response));
         boolean streaming = route.stream() && answer.isSuccess();
-        splitting = streaming && route.repeat() == RepeatPolicy.RESUMABLE;
+        splitting = streaming && route.repeat() == RetryPolicy.RESUMABLE;
         if (streaming) {
             OptionalLong length =
                     HttpUtil.isContentLengthSet(response) && !splitting
--- a/router/src/main/java/org/bronzelug/router/exchange/WireFormat.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/WireFormat.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
-import org.bronzelug.router.endpoint.EndpointAnswer;
+import org.bronzelug.router.endpoint.EndpointResponse;
 
 /**
  * How requests and answers are spelled on the wire: the only place of the engine that depends on a
@@ -23,7 +23,7 @@
     void setDeadline(HttpHeaders headers, long millis);
 
     /** Reads what the engine needs of an endpoint's answer. */
-    EndpointAnswer decodeAnswer(HttpResponse response);
+    EndpointResponse decodeResponse(HttpResponse response);
 
     /** The headers of an endpoint's answer that a caller gets. */
     HttpHeaders callerHeaders(HttpResponse response);
