--- a/router/src/main/java/org/bronzelug/router/fleet/Member.java
+++ b/router/src/main/java/org/bronzelug/router/fleet/Member.java
@@ -6,6 +6,6 @@
  * A VM as last heard. Immutable.
  *
  * @param state what it said
- * @param heardNanos when, by the local monotonic clock
+ * @param receivedNanos when, by the local monotonic clock
  */
-public record Member(VmState state, long heardNanos) {}
+public record Member(VmState state, long receivedNanos) {}
--- a/router/src/main/java/org/bronzelug/router/fleet/MemberTable.java
+++ b/router/src/main/java/org/bronzelug/router/fleet/MemberTable.java
@@ -76,7 +76,7 @@
         known.state().getTeamsList().forEach(use -> teams.put(use.getTeam(), use));
         counts.getTeamsList().forEach(use -> teams.put(use.getTeam(), use));
         Map<String, EndpointLimitUse> limits = new LinkedHashMap<>();
-        long elapsedMillis = (nowNanos - known.heardNanos()) / NANOS_PER_MILLI;
+        long elapsedMillis = (nowNanos - known.receivedNanos()) / NANOS_PER_MILLI;
         for (EndpointLimitUse use : known.state().getLimitsList()) {
             limits.put(use.getEndpoint(), aged(use, elapsedMillis));
         }
@@ -111,7 +111,7 @@
     public List<Member> live(long nowNanos) {
         int rounds = SILENT_TURNS * FleetGossip.roundsPerTurn(addresses.size()) + 1;
         return members.values().stream()
-                .filter(member -> nowNanos - member.heardNanos() < liveNanos(member, rounds))
+                .filter(member -> nowNanos - member.receivedNanos() < liveNanos(member, rounds))
                 .toList();
     }
 
@@ -128,7 +128,7 @@
     /** All VMs heard within the time after which a silent one counts as gone. */
     public List<Member> notGone(long nowNanos) {
         return members.values().stream()
-                .filter(member -> nowNanos - member.heardNanos() < GONE_NANOS)
+                .filter(member -> nowNanos - member.receivedNanos() < GONE_NANOS)
                 .toList();
     }
 
@@ -140,7 +140,7 @@
      * The part of the VMs that may admit requests which is heard, this one included. A VM that has
      * heard nobody yet reckons with all whose addresses it knows.
      */
-    public double heardPart(long nowNanos) {
+    public double reachableFraction(long nowNanos) {
         int live = 1 + live(nowNanos).size();
         int possible =
                 members.isEmpty() ? Math.max(1, addresses.size()) : 1 + notGone(nowNanos).size();
--- a/router/src/main/java/org/bronzelug/router/http/HttpResponder.java
+++ b/router/src/main/java/org/bronzelug/router/http/HttpResponder.java
@@ -38,7 +38,7 @@
     private final String name;
     private final EventLoop control;
     private final InetSocketAddress address;
-    private final Function<String, CompletableFuture<SmallAnswer>> answers;
+    private final Function<String, CompletableFuture<SmallResponse>> answers;
     private Optional<Channel> listener = Optional.empty();
 
     /**
@@ -48,7 +48,7 @@
             String name,
             EventLoop control,
             InetSocketAddress address,
-            Function<String, CompletableFuture<SmallAnswer>> answers) {
+            Function<String, CompletableFuture<SmallResponse>> answers) {
         this.name = name;
         this.control = control;
         this.address = address;
@@ -101,7 +101,7 @@
             answers.apply(request.uri()).thenAccept(answer -> write(context, answer, keepAlive));
         }
 
-        private void write(ChannelHandlerContext context, SmallAnswer answer, boolean keepAlive) {
+        private void write(ChannelHandlerContext context, SmallResponse answer, boolean keepAlive) {
             DefaultFullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
@@ -132,5 +132,5 @@
      * @param body its bytes
      */
     @SuppressWarnings("ArrayRecordComponent")
-    public record SmallAnswer(int status, String contentType, byte[] body) {}
+    public record SmallResponse(int status, String contentType, byte[] body) {}
 }
--- a/router/src/main/java/org/bronzelug/router/ingress/CallerConnection.java
+++ b/router/src/main/java/org/bronzelug/router/ingress/CallerConnection.java
@@ -31,7 +31,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
-import org.bronzelug.router.exchange.Refusal;
+import org.bronzelug.router.exchange.Rejection;
 
 /**
  * One connection of a caller: its requests are answered one after the other.
@@ -124,16 +124,21 @@
     }
 
     /** Answers with a refusal of the router's own. */
-    public void refuse(Refusal refusal) {
-        closing |= refusal.close();
+    public void refuse(Rejection rejection) {
+        closing |= rejection.close();
         String text =
-                "{\"error\":\"" + refusal.reason() + "\",\"remedy\":\"" + refusal.remedy() + "\"}";
+                "{\"error\":\""
+                        + rejection.reason()
+                        + "\",\"remedy\":\""
+                        + rejection.remedy()
+                        + "\"}";
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
         headers.set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-        refusal.retryAfterMillis()
+        rejection
+                .retryAfterMillis()
                 .ifPresent(millis -> headers.set(HttpHeaderNames.RETRY_AFTER, seconds(millis)));
         answer(
-                refusal.status(),
+                rejection.status(),
                 headers,
                 Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.UTF_8)));
     }
@@ -203,7 +208,7 @@
                 > handler.limits().maximumBodyBytes()) {
             content.release();
             reading = Optional.empty();
-            refuseNow(Refusal.of(TOO_LARGE, "body too large", "send a smaller body").closing());
+            refuseNow(Rejection.of(TOO_LARGE, "body too large", "send a smaller body").closing());
             return;
         }
         body.addComponent(true, content.content());
@@ -289,25 +294,25 @@
     private void refuseUnread(Throwable cause) {
         boolean tooLong = cause instanceof TooLongFrameException;
         reading = Optional.empty();
-        Refusal refusal =
+        Rejection rejection =
                 tooLong
-                        ? Refusal.of(HEADER_TOO_LARGE, "head too large", "send fewer headers")
-                        : Refusal.of(BAD_REQUEST, "malformed request", "send valid HTTP/1.1");
-        refuseNow(refusal.closing());
+                        ? Rejection.of(HEADER_TOO_LARGE, "head too large", "send fewer headers")
+                        : Rejection.of(BAD_REQUEST, "malformed request", "send valid HTTP/1.1");
+        refuseNow(rejection.closing());
     }
 
     private void tooSlow() {
         reading = Optional.empty();
-        refuseNow(Refusal.of(REQUEST_TIMEOUT, "request too slow", "send it faster").closing());
+        refuseNow(Rejection.of(REQUEST_TIMEOUT, "request too slow", "send it faster").closing());
     }
 
     /** Refuses what is being read; an answer under way is not mixed with it. */
-    private void refuseNow(Refusal refusal) {
+    private void refuseNow(Rejection rejection) {
         if (busy) {
             endWhenIdle();
             return;
         }
-        refuse(refusal);
+        refuse(rejection);
     }
 
     private void closeAfterFlush() {
--- a/router/src/main/java/org/bronzelug/router/traffic/EndpointChoice.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/EndpointChoice.java
@@ -8,7 +8,7 @@
 import java.util.OptionalLong;
 import java.util.function.Predicate;
 import org.bronzelug.api.fleet.v1.PrefixRead;
-import org.bronzelug.core.placement.CacheBelief;
+import org.bronzelug.core.placement.CacheEstimate;
 import org.bronzelug.core.placement.LeastLoad;
 import org.bronzelug.core.placement.Placement;
 import org.bronzelug.core.placement.PlacementPolicy;
@@ -55,8 +55,8 @@
     private final EndpointTable endpoints;
     private final String availabilityZone;
     private final long olderWeightsEndNanos;
-    private final CacheBelief belief =
-            new CacheBelief(PREFIXES_PER_RUNNER, BELIEF_NANOS, System.nanoTime());
+    private final CacheEstimate cacheEstimate =
+            new CacheEstimate(PREFIXES_PER_RUNNER, BELIEF_NANOS, System.nanoTime());
     private final PrefixReads reads = new PrefixReads();
     private Map<String, WeightsTarget> weights = Map.of();
 
@@ -74,7 +74,7 @@
     }
 
     /** The endpoint for a request without a prompt. */
-    public Optional<EndpointState> leastLoaded(
+    public Optional<EndpointState> leastLoadedEndpoint(
             String pool, Predicate<String> allowed, long nowNanos) {
         Map<String, EndpointState> usable = new HashMap<>();
         for (EndpointState state : endpoints.takingWork(pool)) {
@@ -109,7 +109,7 @@
         PrefixChain chain = PrefixChain.ofParts(wall + prompt.model(), prompt.parts());
         List<RunnerLoad> loads =
                 usable.stream().map(state -> load(state, prompt.model(), nowNanos)).toList();
-        Optional<Placement> placement = policy(pool).choose(chain, loads, belief, nowNanos);
+        Optional<Placement> placement = policy(pool).choose(chain, loads, cacheEstimate, nowNanos);
         return placement.flatMap(
                 best ->
                         endpoints
@@ -156,7 +156,9 @@
     public boolean isToBeSaved(RunnerChoice choice, long nowNanos) {
         return !choice.sharedCached()
                 && reads.isUnsaved(
-                        choice.chain().deepestShared().hash(), choice.weightsVersion(), nowNanos);
+                        choice.chain().deepestSharedLevel().hash(),
+                        choice.weightsVersion(),
+                        nowNanos);
     }
 
     /**
@@ -169,7 +171,7 @@
      */
     public void recordRead(RunnerChoice choice, String model, boolean saved, long nowNanos) {
         reads.record(choice, model, saved, nowNanos);
-        belief.recordCached(
+        cacheEstimate.recordCached(
                 choice.endpoint().entry().id(), choice.incarnation(), choice.chain(), nowNanos);
     }
 
@@ -187,7 +189,7 @@
     private void recordLevels(EndpointState state, PrefixRead read, long nowNanos) {
         String incarnation = state.cacheIncarnation(read.getModel());
         for (PrefixHash level : PrefixReads.hashes(read)) {
-            belief.recordLevel(state.entry().id(), incarnation, level, nowNanos);
+            cacheEstimate.recordLevel(state.entry().id(), incarnation, level, nowNanos);
         }
     }
 
@@ -226,7 +228,7 @@
     }
 
     private RunnerLoad load(EndpointState state, String model, long nowNanos) {
-        PeerUse others = state.peerUse();
+        PeerEndpointUsage others = state.peerUse();
         RunnerLoad own = state.load().load(state.entry().id(), state.cacheIncarnation(model));
         return new RunnerLoad(
                 own.name(),
@@ -250,8 +252,8 @@
             PromptSpec prompt,
             int considered,
             long nowNanos) {
-        int missing = Math.max(1, chain.tokens() - best.believedCachedTokens());
-        boolean sharedCached = best.believedCachedTokens() >= chain.deepestShared().tokens();
+        int missing = Math.max(1, chain.tokens() - best.estimatedCachedTokens());
+        boolean sharedCached = best.estimatedCachedTokens() >= chain.deepestSharedLevel().tokens();
         return new RunnerChoice(
                 state,
                 best.incarnation(),
--- a/router/src/main/java/org/bronzelug/router/traffic/EndpointState.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/EndpointState.java
@@ -8,15 +8,15 @@
 import java.util.Optional;
 import java.util.Set;
 import org.bronzelug.api.fleet.v1.EndpointWeights;
+import org.bronzelug.core.limit.AdvertisedLimit;
 import org.bronzelug.core.limit.EndpointLimit;
-import org.bronzelug.core.limit.NamedLimit;
 import org.bronzelug.core.placement.LoadEstimate;
 import org.bronzelug.core.placement.PrefillRate;
 import org.bronzelug.core.routing.EndpointEntry;
 import org.bronzelug.log.EventLog;
 import org.bronzelug.log.LogEvent;
-import org.bronzelug.router.endpoint.EndpointAnswer;
 import org.bronzelug.router.endpoint.EndpointConnections;
+import org.bronzelug.router.endpoint.EndpointResponse;
 
 /**
  * What this VM knows of one start of one endpoint. Confined to the traffic thread.
@@ -43,14 +43,14 @@
     private final LoadEstimate load = new LoadEstimate();
     private final Map<String, Long> answeredWeights = new HashMap<>();
     private EndpointEntry entry;
-    private PeerUse peerUse = PeerUse.NONE;
+    private PeerEndpointUsage peerUse = PeerEndpointUsage.NONE;
     private Optional<EndpointLimit> limit = Optional.empty();
     private boolean ordered;
     private int failuresInRow;
     private long suspectUntilNanos = Long.MIN_VALUE;
     private final Set<DrainListener> requests = new HashSet<>();
     private long quietSinceNanos;
-    private long doubtedUntilNanos = Long.MIN_VALUE;
+    private long weightsUnknownUntilNanos = Long.MIN_VALUE;
 
     EndpointState(EndpointEntry entry, EndpointConnections connections, PrefillRate prefillRate) {
         this.entry = entry;
@@ -80,9 +80,9 @@
      *
      * @return whether it begins to load weights
      */
-    boolean update(EndpointEntry newer, PeerUse use, boolean nowOrdered) {
+    boolean update(EndpointEntry newer, PeerEndpointUsage use, boolean nowOrdered) {
         if (!newer.weights().equals(entry.weights())) {
-            doubtedUntilNanos = Long.MIN_VALUE;
+            weightsUnknownUntilNanos = Long.MIN_VALUE;
         }
         entry = newer;
         peerUse = use;
@@ -96,13 +96,13 @@
         Set.copyOf(requests).forEach(DrainListener::onDrain);
     }
 
-    PeerUse peerUse() {
+    PeerEndpointUsage peerUse() {
         return peerUse;
     }
 
     /** Whether it refuses requests now: it loads weights, or has others than believed. */
     public boolean isLoading(long nowNanos) {
-        return ordered || areWeightsDoubted(nowNanos);
+        return ordered || areWeightsUnknown(nowNanos);
     }
 
     /** Requests of all VMs, as far as known. */
@@ -175,13 +175,13 @@
      * <p>The failure this prevents: the newest version is assumed, the runner is still at the one
      * between, and every request that is sent there is refused until it has loaded the newest.
      */
-    public void doubtWeights(long nowNanos) {
-        doubtedUntilNanos = nowNanos + DOUBT_NANOS;
+    public void markWeightsUnknown(long nowNanos) {
+        weightsUnknownUntilNanos = nowNanos + DOUBT_NANOS;
     }
 
     /** Whether the runner must be asked which weights it has before it gets requests. */
-    public boolean areWeightsDoubted(long nowNanos) {
-        return doubtedUntilNanos != Long.MIN_VALUE && nowNanos < doubtedUntilNanos;
+    public boolean areWeightsUnknown(long nowNanos) {
+        return weightsUnknownUntilNanos != Long.MIN_VALUE && nowNanos < weightsUnknownUntilNanos;
     }
 
     /** Versions that answers showed before the entry told of them. */
@@ -207,7 +207,7 @@
         return entry.id() + "/" + entry.bornMillis() + "/" + weights(model);
     }
 
-    public void recordAnswer(EndpointAnswer answer) {
+    public void recordAnswer(EndpointResponse answer) {
         observeLimit(answer);
         if (!answer.isServerError() || answer.genuine()) {
             failuresInRow = 0;
@@ -221,20 +221,20 @@
     }
 
     /** An answer that the endpoint did not stamp may lack what the endpoint says. */
-    private void observeLimit(EndpointAnswer answer) {
+    private void observeLimit(EndpointResponse answer) {
         long nowNanos = System.nanoTime();
         switch (answer.limit()) {
-            case NamedLimit.Rate named -> {
+            case AdvertisedLimit.Rate named -> {
                 if (answer.genuine() || answer.notExecuted()) {
                     takeLimit(named, nowNanos, "answer");
                 }
             }
-            case NamedLimit.None none -> {
+            case AdvertisedLimit.None none -> {
                 if (answer.genuine()) {
                     takeLimit(none, nowNanos, "answer");
                 }
             }
-            case NamedLimit.Malformed malformed ->
+            case AdvertisedLimit.Malformed malformed ->
                     EventLog.warn(
                             LogEvent.ENDPOINT_LIMIT_MALFORMED,
                             "endpoint=" + entry.id() + " limit=\"" + malformed.text() + "\"");
@@ -242,20 +242,20 @@
     }
 
     /** Takes in what a peer knows of the limit, and what it has sent. */
-    void recordPeerLimit(PeerLimitUse use, long nowNanos) {
+    void recordPeerLimit(PeerLimitUsage use, long nowNanos) {
         takeLimit(use.limit(), use.seenNanos(), "vm " + use.vm());
         limit.ifPresent(
                 known -> known.recordPeer(use.vm(), use.incarnation(), use.count(), nowNanos));
     }
 
-    private void takeLimit(NamedLimit named, long seenNanos, String source) {
+    private void takeLimit(AdvertisedLimit named, long seenNanos, String source) {
         if (limit.isEmpty()) {
-            if (named instanceof NamedLimit.None) {
+            if (named instanceof AdvertisedLimit.None) {
                 return;
             }
             limit = Optional.of(new EndpointLimit(seenNanos));
         }
-        NamedLimit before = limit.get().limit();
+        AdvertisedLimit before = limit.get().limit();
         long nowNanos = System.nanoTime();
         if (limit.get().observe(named, seenNanos, nowNanos)) {
             EventLog.info(
--- a/router/src/main/java/org/bronzelug/router/traffic/EndpointTable.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/EndpointTable.java
@@ -35,7 +35,8 @@
         states.values().removeIf(state -> hasLeft(state, update.endpoints()));
         List<EndpointState> draining = new ArrayList<>();
         for (EndpointEntry entry : update.endpoints().values()) {
-            PeerUse use = update.peerUse().getOrDefault(entry.id(), PeerUse.NONE);
+            PeerEndpointUsage use =
+                    update.peerUse().getOrDefault(entry.id(), PeerEndpointUsage.NONE);
             boolean ordered = update.ordered().contains(entry.id());
             EndpointState state = states.computeIfAbsent(entry.id(), id -> open(entry));
             if (state.update(entry, use, ordered)) {
@@ -49,7 +50,7 @@
 
     private void updateLimits(TrafficUpdate update) {
         long nowNanos = System.nanoTime();
-        for (PeerLimitUse use : update.peerLimits()) {
+        for (PeerLimitUsage use : update.peerLimits()) {
             find(use.endpoint())
                     .filter(state -> state.entry().bornMillis() == use.bornMillis())
                     .ifPresent(state -> state.recordPeerLimit(use, nowNanos));
@@ -57,7 +58,10 @@
         for (EndpointState state : states.values()) {
             state.limit()
                     .ifPresent(
-                            limit -> limit.setFleet(update.heardPart(), update.countDelayNanos()));
+                            limit ->
+                                    limit.setFleet(
+                                            update.reachableFraction(),
+                                            update.propagationDelayNanos()));
         }
     }
 
--- a/router/src/main/java/org/bronzelug/router/traffic/PeerLimitUse.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/PeerLimitUsage.java
@@ -1,7 +1,7 @@
 package org.bronzelug.router.traffic;
 
+import org.bronzelug.core.limit.AdvertisedLimit;
 import org.bronzelug.core.limit.EndpointLimit;
-import org.bronzelug.core.limit.NamedLimit;
 
 /**
  * What a peer says of an endpoint's limit. Immutable.
@@ -14,11 +14,11 @@
  * @param seenNanos when the answer came that named it, by the local monotonic clock
  * @param count of the peer's requests
  */
-public record PeerLimitUse(
+public record PeerLimitUsage(
         String vm,
         String incarnation,
         String endpoint,
         long bornMillis,
-        NamedLimit limit,
+        AdvertisedLimit limit,
         long seenNanos,
         EndpointLimit.Count count) {}
--- a/router/src/main/java/org/bronzelug/router/traffic/PeerTeamUse.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/PeerTeamUsage.java
@@ -1,6 +1,6 @@
 package org.bronzelug.router.traffic;
 
-import org.bronzelug.core.limit.PeerCount;
+import org.bronzelug.core.limit.PeerBucketUsage;
 
 /**
  * What a peer says of a team's rate. Immutable.
@@ -8,4 +8,4 @@
  * @param team the team's name
  * @param count of the peer
  */
-public record PeerTeamUse(String team, PeerCount count) {}
+public record PeerTeamUsage(String team, PeerBucketUsage count) {}
--- a/router/src/main/java/org/bronzelug/router/traffic/PrefixReads.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/PrefixReads.java
@@ -57,7 +57,8 @@
         }
         told.addLast(new Told(read.build(), nowNanos));
         if (save) {
-            recordSaved(choice.chain().deepestShared().hash(), choice.weightsVersion(), nowNanos);
+            recordSaved(
+                    choice.chain().deepestSharedLevel().hash(), choice.weightsVersion(), nowNanos);
         }
     }
 
--- a/router/src/main/java/org/bronzelug/router/traffic/TeamRates.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/TeamRates.java
@@ -21,7 +21,7 @@
     private static final double RESTART_PART = 0.2;
 
     /** Below this part of its burst a team's count is told to all VMs at once. */
-    private static final double PRESSED_PART = 0.5;
+    private static final double CONTENDED_FRACTION = 0.5;
 
     private final boolean fleetStarts;
     private final Map<String, FleetBucket> buckets = new HashMap<>();
@@ -36,15 +36,15 @@
 
     void update(TrafficUpdate update, long nowNanos) {
         update.configuration().ifPresent(present -> present.teams().forEach(this::limit));
-        for (PeerTeamUse use : update.peerTeams()) {
+        for (PeerTeamUsage use : update.peerTeams()) {
             FleetBucket bucket = buckets.get(use.team());
             if (bucket != null) {
                 bucket.recordPeer(use.count(), nowNanos);
             }
         }
         for (FleetBucket bucket : buckets.values()) {
-            bucket.setHeardPart(update.heardPart());
-            bucket.setCountDelay(update.countDelayNanos());
+            bucket.setReachableFraction(update.reachableFraction());
+            bucket.setPropagationDelay(update.propagationDelayNanos());
         }
     }
 
@@ -66,16 +66,16 @@
     }
 
     /** Takes tokens out of a team's bucket, all or nothing. */
-    public boolean tryTake(Team team, long tokens, long nowNanos) {
+    public boolean tryAcquire(Team team, long tokens, long nowNanos) {
         FleetBucket bucket = buckets.get(team.name());
-        return bucket == null || bucket.tryTake(tokens, Math.random(), nowNanos);
+        return bucket == null || bucket.tryAcquire(tokens, Math.random(), nowNanos);
     }
 
     /** Gives back what was taken for a request that did not run. */
-    public void giveBack(Team team, long tokens) {
+    public void refund(Team team, long tokens) {
         FleetBucket bucket = buckets.get(team.name());
         if (bucket != null) {
-            bucket.giveBack(tokens, System.nanoTime());
+            bucket.refund(tokens, System.nanoTime());
         }
     }
 
@@ -102,7 +102,7 @@
         Set<String> pressed = new HashSet<>();
         buckets.forEach(
                 (team, bucket) -> {
-                    boolean low = bucket.level(nowNanos) < bucket.burst() * PRESSED_PART;
+                    boolean low = bucket.level(nowNanos) < bucket.burst() * CONTENDED_FRACTION;
                     if (low && bucket.admitted() > 0) {
                         pressed.add(team);
                     }
--- a/router/src/main/java/org/bronzelug/router/traffic/TrafficState.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/TrafficState.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.bronzelug.core.retry.RepeatKind;
 import org.bronzelug.core.retry.RetryBudget;
+import org.bronzelug.core.retry.RetryKind;
 import org.bronzelug.core.routing.RoutingConfiguration;
 import org.bronzelug.router.exchange.WireFormat;
 import org.bronzelug.router.settings.FleetBounds;
@@ -78,9 +78,9 @@
     }
 
     /** Takes one repeat out of this VM's part of the fleet's budget, if it is there. */
-    public boolean tryRepeat(RepeatKind kind, String pool, long nowNanos) {
+    public boolean tryRetry(RetryKind kind, String pool, long nowNanos) {
         double slack = bounds.retrySlack() * SLACK_PART / vmCount;
-        return budget(pool).tryRepeat(kind, bounds.retryRatio(), slack, nowNanos);
+        return budget(pool).tryRetry(kind, bounds.retryRatio(), slack, nowNanos);
     }
 
     private RetryBudget budget(String pool) {
--- a/router/src/main/java/org/bronzelug/router/traffic/TrafficUpdate.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/TrafficUpdate.java
@@ -21,22 +21,22 @@
  * @param peerReads prompts that peers sent to runners lately, of those heard since the update
  *     before
  * @param ordered ids of endpoints that load weights now
- * @param heardPart the part of the fleet's VMs that is heard, this one included; in (0, 1]
+ * @param reachableFraction the part of the fleet's VMs that is heard, this one included; in (0, 1]
  * @param vmCount VMs of the fleet, this one included
- * @param countDelayNanos until the count of one VM is known to all
+ * @param propagationDelayNanos until the count of one VM is known to all
  */
 public record TrafficUpdate(
         Optional<RoutingConfiguration> configuration,
         Map<String, EndpointEntry> endpoints,
         Map<String, WeightsTarget> weights,
-        Map<String, PeerUse> peerUse,
-        List<PeerTeamUse> peerTeams,
-        List<PeerLimitUse> peerLimits,
+        Map<String, PeerEndpointUsage> peerUse,
+        List<PeerTeamUsage> peerTeams,
+        List<PeerLimitUsage> peerLimits,
         List<PrefixRead> peerReads,
         Set<String> ordered,
-        double heardPart,
+        double reachableFraction,
         int vmCount,
-        long countDelayNanos) {
+        long propagationDelayNanos) {
     public TrafficUpdate {
         endpoints = Map.copyOf(endpoints);
         weights = Map.copyOf(weights);
--- a/router/src/test/java/org/bronzelug/router/control/EndpointListTest.java
+++ b/router/src/test/java/org/bronzelug/router/control/EndpointListTest.java
@@ -36,7 +36,7 @@
             String name, boolean draining, long listMillis, long lookMillis, boolean kept) {
         EndpointList list = new EndpointList();
         list.update(listed(entry("a", draining, 1, 1)), 0);
-        list.platformRegainedBefore(0, BACK);
+        list.recordPlatformRecovery(0, BACK);
         list.update(Map.of(), BACK + listMillis * MILLI);
         list.expire(BACK + lookMillis * MILLI);
         assertThat(list.entries().containsKey("a")).isEqualTo(kept);
--- a/router/src/test/java/org/bronzelug/router/control/OneModelDecoder.java
+++ b/router/src/test/java/org/bronzelug/router/control/OneModelDecoder.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public Optional<NamedWeights> weights(StoredItem item) {
-        return Optional.of(new NamedWeights(item.name(), item.revision()));
+    public Optional<AdvertisedWeights> weights(StoredItem item) {
+        return Optional.of(new AdvertisedWeights(item.name(), item.revision()));
     }
 }
--- a/router/src/test/java/org/bronzelug/router/traffic/EndpointStateTest.java
+++ b/router/src/test/java/org/bronzelug/router/traffic/EndpointStateTest.java
@@ -10,12 +10,12 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalLong;
+import org.bronzelug.core.limit.AdvertisedLimit;
 import org.bronzelug.core.limit.EndpointLimit;
-import org.bronzelug.core.limit.NamedLimit;
 import org.bronzelug.core.placement.PrefillRate;
 import org.bronzelug.core.routing.EndpointEntry;
-import org.bronzelug.router.endpoint.EndpointAnswer;
 import org.bronzelug.router.endpoint.EndpointConnections;
+import org.bronzelug.router.endpoint.EndpointResponse;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -81,13 +81,13 @@
     @CsvSource({"100, 1, true", "500, 1, false", "100, 2, false"})
     void aRunnerThatRefusedItsWeightsIsLeftOutUntilTheyAreKnown(
             long nowMillis, long versionNow, boolean loading) {
-        state.doubtWeights(0);
-        state.update(entry(versionNow), PeerUse.NONE, false);
+        state.markWeightsUnknown(0);
+        state.update(entry(versionNow), PeerEndpointUsage.NONE, false);
         assertThat(state.isLoading(nowMillis * MILLI)).isEqualTo(loading);
     }
 
-    private static EndpointAnswer answer(NamedLimit limit, boolean genuine) {
-        return new EndpointAnswer(
+    private static EndpointResponse answer(AdvertisedLimit limit, boolean genuine) {
+        return new EndpointResponse(
                 200,
                 Optional.empty(),
                 Optional.empty(),
@@ -103,14 +103,14 @@
     /** A stray or spoiled answer must neither limit an endpoint nor end its limit. */
     @Test
     void onlyGenuineAnswersChangeTheLimit() {
-        state.recordAnswer(answer(new NamedLimit.Rate(2), false));
+        state.recordAnswer(answer(new AdvertisedLimit.Rate(2), false));
         assertThat(state.limit()).isEmpty();
-        state.recordAnswer(answer(new NamedLimit.Rate(2), true));
-        assertThat(state.limit().get().limit()).isEqualTo(new NamedLimit.Rate(2));
-        state.recordAnswer(answer(new NamedLimit.None(), false));
-        state.recordAnswer(answer(new NamedLimit.Malformed("x"), true));
+        state.recordAnswer(answer(new AdvertisedLimit.Rate(2), true));
+        assertThat(state.limit().get().limit()).isEqualTo(new AdvertisedLimit.Rate(2));
+        state.recordAnswer(answer(new AdvertisedLimit.None(), false));
+        state.recordAnswer(answer(new AdvertisedLimit.Malformed("x"), true));
         assertThat(state.limit().get().isNamed()).isTrue();
-        state.recordAnswer(answer(new NamedLimit.None(), true));
+        state.recordAnswer(answer(new AdvertisedLimit.None(), true));
         assertThat(state.limit().get().isNamed()).isFalse();
     }
 
@@ -120,7 +120,8 @@
         long nowNanos = System.nanoTime();
         EndpointLimit.Count count = new EndpointLimit.Count(5_000, 5_000, -3_000);
         state.recordPeerLimit(
-                new PeerLimitUse("vm-2", "one", "a", 1, new NamedLimit.Rate(2), nowNanos, count),
+                new PeerLimitUsage(
+                        "vm-2", "one", "a", 1, new AdvertisedLimit.Rate(2), nowNanos, count),
                 nowNanos);
         assertThat(state.limit().get().isNamed()).isTrue();
         assertThat(state.limit().get().level(nowNanos)).isWithin(0.1).of(-3);
@@ -130,9 +131,9 @@
     void whatMayGoElsewhereIsSentAwayOnceWhenLoadingBegins() {
         List<String> asked = new ArrayList<>();
         state.begin(() -> asked.add("r1"), 0);
-        assertThat(state.update(entry(1), PeerUse.NONE, true)).isTrue();
+        assertThat(state.update(entry(1), PeerEndpointUsage.NONE, true)).isTrue();
         state.drain();
-        assertThat(state.update(entry(1), PeerUse.NONE, true)).isFalse();
+        assertThat(state.update(entry(1), PeerEndpointUsage.NONE, true)).isFalse();
         assertThat(asked).containsExactly("r1");
     }
 }
--- a/router/src/test/java/org/bronzelug/router/traffic/NoWireFormat.java
+++ b/router/src/test/java/org/bronzelug/router/traffic/NoWireFormat.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
-import org.bronzelug.router.endpoint.EndpointAnswer;
+import org.bronzelug.router.endpoint.EndpointResponse;
 import org.bronzelug.router.exchange.Dispatch;
 import org.bronzelug.router.exchange.RequestHead;
 import org.bronzelug.router.exchange.WireFormat;
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public EndpointAnswer decodeAnswer(HttpResponse response) {
+    public EndpointResponse decodeResponse(HttpResponse response) {
         throw new UnsupportedOperationException("nothing is sent");
     }
 
--- a/tools/src/main/java/org/bronzelug/client/WatchedCall.java
+++ b/tools/src/main/java/org/bronzelug/client/WatchedCall.java
@@ -25,7 +25,7 @@
 
     private final RouterGrpc.RouterBlockingStub stub;
     private final CountDownLatch ended = new CountDownLatch(1);
-    private volatile long heardNanos = System.nanoTime();
+    private volatile long receivedNanos = System.nanoTime();
 
     WatchedCall(RouterGrpc.RouterBlockingStub stub) {
         this.stub = stub;
@@ -33,7 +33,7 @@
 
     /** Says that something came. */
     void heard() {
-        heardNanos = System.nanoTime();
+        receivedNanos = System.nanoTime();
     }
 
     /**
@@ -59,7 +59,7 @@
         int inVain = 0;
         try {
             while (!ended.await(QUESTION_MILLIS, TimeUnit.MILLISECONDS)) {
-                long silentNanos = System.nanoTime() - heardNanos;
+                long silentNanos = System.nanoTime() - receivedNanos;
                 if (silentNanos < TimeUnit.MILLISECONDS.toNanos(QUESTION_MILLIS) || answers()) {
                     inVain = 0;
                 } else if (++inVain >= VAIN_QUESTIONS) {
