--- a/core/src/main/java/org/bronzelug/core/membership/Announcement.java
+++ b/core/src/main/java/org/bronzelug/core/membership/Announcement.java
@@ -4,50 +4,55 @@
 import java.util.Map;
 
 /**
- * Counts the confirmations of one announcement, and decides when it is in force.
+ * Counts the confirmations of one announced configuration change and decides when the change is in
+ * force, that is, when a majority of the roster holds it.
  *
- * <p>Two rounds are asked for. The failure this guards against: a VM confirms, restarts and
- * forgets, settles again from VMs that have not heard yet, and is counted all the same; then a
- * majority that does not know the change serves on. A VM counts only if the same settled
- * incarnation confirms in both rounds, and the second begins after the first has ended; so at that
- * moment a majority held the change, all at once.
+ * <p>The announcing VM asks all VMs in two rounds. A VM counts only if it is caught up and the same
+ * incarnation confirms in both rounds, and the second round begins after the first has collected a
+ * majority. So each counted VM held the change when the second round began, and a majority held it
+ * at that one moment.
  *
- * <p>Not thread-safe: guarded by its owner.
+ * <p>Without the second round, a VM could confirm, restart, lose what it had confirmed, catch up
+ * from VMs that have not received the change yet, and still be counted. The change would be
+ * reported as in force while a majority of VMs without it keeps serving.
+ *
+ * <p>Not thread-safe: the caller synchronizes access.
  */
 public final class Announcement {
-    private final int needed;
-    private final Map<String, String> first = new HashMap<>();
-    private final Map<String, String> second = new HashMap<>();
+    private final int requiredConfirmations;
+    private final Map<String, String> firstRound = new HashMap<>();
+    private final Map<String, String> secondRound = new HashMap<>();
 
     /**
-     * @param majority of the roster
-     * @param selfSettled whether the announcing VM counts for it
+     * @param majority number of VMs that make a majority of the roster
+     * @param selfCaughtUp whether the announcing VM is caught up and so counts as one of the
+     *     majority
      */
-    public Announcement(int majority, boolean selfSettled) {
-        this.needed = majority - (selfSettled ? 1 : 0);
+    public Announcement(int majority, boolean selfCaughtUp) {
+        this.requiredConfirmations = majority - (selfCaughtUp ? 1 : 0);
     }
 
-    /** Notes a confirmation of the first round. */
-    public void confirmFirst(String vm, String incarnation, boolean settled) {
-        if (settled) {
-            first.put(vm, incarnation);
+    /** Records a confirmation of the first round; ignored unless the VM is caught up. */
+    public void confirmFirst(String vm, String incarnation, boolean caughtUp) {
+        if (caughtUp) {
+            firstRound.put(vm, incarnation);
         }
     }
 
-    /** Notes a confirmation of the second round, asked for after the first was complete. */
-    public void confirmSecond(String vm, String incarnation, boolean settled) {
-        if (settled && incarnation.equals(first.get(vm))) {
-            second.put(vm, incarnation);
+    /** Records a confirmation of the second round, requested after the first round was complete. */
+    public void confirmSecond(String vm, String incarnation, boolean caughtUp) {
+        if (caughtUp && incarnation.equals(firstRound.get(vm))) {
+            secondRound.put(vm, incarnation);
         }
     }
 
-    /** Whether the first round has confirmations enough to begin the second. */
+    /** Returns whether enough VMs have confirmed in the first round to begin the second. */
     public boolean isFirstComplete() {
-        return first.size() >= needed;
+        return firstRound.size() >= requiredConfirmations;
     }
 
-    /** Whether a majority held the change at one moment. */
+    /** Returns whether a majority held the change at one moment. */
     public boolean isInForce() {
-        return second.size() >= needed;
+        return secondRound.size() >= requiredConfirmations;
     }
 }
--- a/core/src/main/java/org/bronzelug/core/membership/Freshness.java
+++ b/core/src/main/java/org/bronzelug/core/membership/Freshness.java
@@ -11,25 +11,36 @@
 import java.util.Set;
 
 /**
- * Decides how old this VM's knowledge of the configuration can be at most, and with it whether the
- * VM may serve, use a rate share or give orders.
+ * Bounds the staleness of the configuration that this VM holds, and so decides whether the VM may
+ * serve requests, admit from a rate share or give orders to load weights.
  *
- * <p>The failure it guards against: a VM that is cut off cannot hear that a key was withdrawn, an
- * endpoint left or its share moved, and goes on as before. The symptom is a refused key that works
- * on one VM only, or a rate admitted twice. Two sources bound the age. The platform: a read sent at
- * time s shows all commits up to s. A majority of the roster: a change is announced as in force
- * only when a majority holds it, so a VM that covers what a majority knew at s covers all changes
- * in force at s. Any two majorities share a VM; that is why this is enough without the platform.
+ * <p>Without the bound, a VM that is cut off does not learn that a key was withdrawn, an endpoint
+ * left or one of its shares moved to another VM, and continues with its old configuration. The
+ * symptom is a withdrawn key that still works on one VM, or a rate that is admitted twice.
  *
- * <p>VMs keep nothing, so a restarted one has forgotten what it confirmed before. It counts for a
- * majority only once it is settled: it covers what the platform, or a majority of settled others,
- * knew after its start. Then the settled VMs that don't know a change in force can only become
- * fewer (DESIGN.md "Freshness" has the argument).
+ * <p>Two sources bound the staleness:
  *
- * <p>Ages travel, never times, and an age is counted from the moment the question was sent; so no
- * clock is compared with another and a delayed answer only looks older than it is.
+ * <ul>
+ *   <li>The platform, the central store of the configuration: a read sent at time s returns all
+ *       changes committed before s.
+ *   <li>A majority of the roster, the VMs that count for majorities: a change is announced as in
+ *       force only when a majority holds it (see {@link Announcement}), and any two majorities have
+ *       a VM in common. So a VM that holds all that a majority held at time s holds all changes in
+ *       force at s. This works without the platform.
+ * </ul>
  *
- * <p>Not thread-safe: owned by the control thread. Times are the local monotonic clock's.
+ * <p>VMs keep the configuration in memory only, so a restarted VM has lost the changes that it
+ * confirmed before. It counts for a majority only once it is <i>caught up</i>: once it holds all
+ * that the platform, or a majority made up of other caught-up VMs, held at some time after its
+ * start. Invariant: while a change is in force, the number of caught-up VMs that lack it can only
+ * decrease (DESIGN.md "Freshness" gives the argument).
+ *
+ * <p>Messages carry ages, never timestamps, and an age is counted from the moment the request was
+ * sent. So the clocks of two VMs are never compared, and a delayed response only makes its content
+ * look older than it is.
+ *
+ * <p>Not thread-safe: confined to the control thread. All times are nanoseconds of the local
+ * monotonic clock.
  */
 public final class Freshness {
     private final MemberIdentity self;
@@ -37,13 +48,14 @@
     private final long startNanos;
     private final Map<String, MemberStatus> members = new HashMap<>();
     private Set<String> roster = Set.of();
-    private OptionalLong platformAsOf = OptionalLong.empty();
-    private boolean settled;
+    private OptionalLong platformSyncedAsOf = OptionalLong.empty();
+    private boolean caughtUp;
 
     /**
      * @param self this VM
-     * @param limitNanos the age beyond which the VM no longer serves
-     * @param startNanos when this VM started, knowing nothing
+     * @param limitNanos the staleness bound: the age of its configuration beyond which the VM stops
+     *     serving
+     * @param startNanos when this VM started, with an empty configuration
      */
     public Freshness(MemberIdentity self, long limitNanos, long startNanos) {
         this.self = self;
@@ -55,12 +67,15 @@
         return limitNanos;
     }
 
-    /** Whether this VM counts for a majority. */
+    /** Returns whether this VM is caught up, and so counts for a majority. */
     public boolean isCaughtUp() {
-        return settled;
+        return caughtUp;
     }
 
-    /** Sets the VMs whose majority counts: those of the roster object in force here. */
+    /**
+     * Sets the VMs that count for a majority: those in the roster object that is in force on this
+     * VM.
+     */
     public void setRoster(Collection<String> vms) {
         roster = Set.copyOf(vms);
         members.keySet().retainAll(roster);
@@ -70,113 +85,127 @@
         return roster;
     }
 
-    /** The number of VMs that make a majority of the roster. */
+    /** Returns the number of VMs that make a majority of the roster. */
     public int majority() {
         return roster.size() / 2 + 1;
     }
 
-    /** Notes that a platform read sent at this time is covered by the configuration held here. */
+    /** Records that this VM holds the result of a platform read that was sent at the given time. */
     public void recordPlatform(long sentNanos) {
-        if (platformAsOf.isEmpty() || platformAsOf.getAsLong() < sentNanos) {
-            platformAsOf = OptionalLong.of(sentNanos);
+        if (platformSyncedAsOf.isEmpty() || platformSyncedAsOf.getAsLong() < sentNanos) {
+            platformSyncedAsOf = OptionalLong.of(sentNanos);
         }
-        settle();
+        updateCaughtUp();
     }
 
     /**
-     * Takes in a peer's report. The caller must first have installed all that the peer's
-     * configuration has newer; otherwise the ages would claim knowledge that is not here.
+     * Merges a peer's report into the status of the members.
      *
-     * @param report the peer's answer
+     * <p>The caller must first have installed every object of which the peer holds a newer version.
+     * Otherwise the ages would cover changes that this VM does not hold.
+     *
+     * @param report the peer's response to a probe
      * @param sentNanos when the probe was sent
      */
     public void recordReport(ProbeReport report, long sentNanos) {
-        OptionalLong peerCovered =
+        OptionalLong peerSyncedAsOf =
                 report.settled() ? OptionalLong.of(sentNanos) : OptionalLong.empty();
-        recordMember(report.peer(), sentNanos, peerCovered, report.draining());
+        recordMember(report.peer(), sentNanos, peerSyncedAsOf, report.draining());
         for (ProbeReport.MemberAge member : report.members()) {
             OptionalLong age = member.syncedAgeNanos();
-            OptionalLong covered =
+            OptionalLong syncedAsOf =
                     age.isPresent()
                             ? OptionalLong.of(sentNanos - age.getAsLong())
                             : OptionalLong.empty();
-            long heard = sentNanos - member.lastSeenAgeNanos();
-            recordMember(member.identity(), heard, covered, member.draining());
+            long lastSeen = sentNanos - member.lastSeenAgeNanos();
+            recordMember(member.identity(), lastSeen, syncedAsOf, member.draining());
         }
         report.platformAgeNanos().ifPresent(age -> recordPlatform(sentNanos - age));
-        settle();
+        updateCaughtUp();
     }
 
     private void recordMember(
-            MemberIdentity identity, long receivedNanos, OptionalLong covered, boolean draining) {
+            MemberIdentity identity,
+            long receivedNanos,
+            OptionalLong syncedAsOf,
+            boolean draining) {
         if (identity.vm().equals(self.vm()) || !roster.contains(identity.vm())) {
             return;
         }
-        MemberStatus held = members.get(identity.vm());
-        if (held == null) {
+        MemberStatus current = members.get(identity.vm());
+        if (current == null) {
             members.put(
-                    identity.vm(), new MemberStatus(identity, receivedNanos, covered, draining));
+                    identity.vm(), new MemberStatus(identity, receivedNanos, syncedAsOf, draining));
             return;
         }
-        boolean newer = receivedNanos > held.lastSeenNanos();
+        boolean newer = receivedNanos > current.lastSeenNanos();
         members.put(
                 identity.vm(),
                 new MemberStatus(
-                        newer ? identity : held.identity(),
-                        Math.max(receivedNanos, held.lastSeenNanos()),
-                        later(covered, held.syncedAsOfNanos()),
-                        newer ? draining : held.draining()));
+                        newer ? identity : current.identity(),
+                        Math.max(receivedNanos, current.lastSeenNanos()),
+                        later(syncedAsOf, current.syncedAsOfNanos()),
+                        newer ? draining : current.draining()));
     }
 
-    private static OptionalLong later(OptionalLong one, OptionalLong other) {
-        if (one.isEmpty()) {
-            return other;
+    private static OptionalLong later(OptionalLong first, OptionalLong second) {
+        if (first.isEmpty()) {
+            return second;
         }
-        return other.isEmpty() || one.getAsLong() > other.getAsLong() ? one : other;
+        return second.isEmpty() || first.getAsLong() > second.getAsLong() ? first : second;
     }
 
-    private void settle() {
-        if (settled) {
+    private void updateCaughtUp() {
+        if (caughtUp) {
             return;
         }
-        boolean byPlatform = platformAsOf.isPresent() && platformAsOf.getAsLong() >= startNanos;
-        OptionalLong byOthers = majorityAsOf(coveredTimes());
-        boolean byMajority = byOthers.isPresent() && byOthers.getAsLong() >= startNanos;
-        settled = byPlatform || byMajority;
+        boolean caughtUpFromPlatform =
+                platformSyncedAsOf.isPresent() && platformSyncedAsOf.getAsLong() >= startNanos;
+        OptionalLong peerMajoritySyncedAsOf = majoritySyncedAsOf(memberSyncTimes());
+        boolean caughtUpFromPeers =
+                peerMajoritySyncedAsOf.isPresent()
+                        && peerMajoritySyncedAsOf.getAsLong() >= startNanos;
+        caughtUp = caughtUpFromPlatform || caughtUpFromPeers;
     }
 
-    /** Everything in force at the returned time is known here; empty where nothing is known. */
+    /**
+     * Returns the time as of which this VM is synchronized: it holds every change that was in force
+     * then. Empty if there is no such time.
+     */
     public OptionalLong freshAsOf(long nowNanos) {
-        List<Long> times = coveredTimes();
-        if (settled && roster.contains(self.vm())) {
-            times.add(nowNanos);
+        List<Long> syncTimes = memberSyncTimes();
+        if (caughtUp && roster.contains(self.vm())) {
+            syncTimes.add(nowNanos);
         }
-        return later(platformAsOf, majorityAsOf(times));
+        return later(platformSyncedAsOf, majoritySyncedAsOf(syncTimes));
     }
 
-    private List<Long> coveredTimes() {
-        List<Long> times = new ArrayList<>();
+    private List<Long> memberSyncTimes() {
+        List<Long> syncTimes = new ArrayList<>();
         for (MemberStatus member : members.values()) {
-            member.syncedAsOfNanos().ifPresent(times::add);
+            member.syncedAsOfNanos().ifPresent(syncTimes::add);
         }
-        return times;
+        return syncTimes;
     }
 
-    private OptionalLong majorityAsOf(List<Long> times) {
-        if (roster.isEmpty() || times.size() < majority()) {
+    private OptionalLong majoritySyncedAsOf(List<Long> syncTimes) {
+        if (roster.isEmpty() || syncTimes.size() < majority()) {
             return OptionalLong.empty();
         }
-        times.sort(Comparator.reverseOrder());
-        return OptionalLong.of(times.get(majority() - 1));
+        syncTimes.sort(Comparator.reverseOrder());
+        return OptionalLong.of(syncTimes.get(majority() - 1));
     }
 
-    /** Whether this VM may serve now. */
+    /** Returns whether this VM is within the staleness bound, and so may serve now. */
     public boolean isFresh(long nowNanos) {
         OptionalLong asOf = freshAsOf(nowNanos);
         return asOf.isPresent() && nowNanos - asOf.getAsLong() <= limitNanos;
     }
 
-    /** How old this VM's knowledge may be; empty where it has none. */
+    /**
+     * Returns the maximum age of the configuration that this VM holds; empty if the VM was never
+     * synchronized.
+     */
     public OptionalLong ageNanos(long nowNanos) {
         OptionalLong asOf = freshAsOf(nowNanos);
         return asOf.isPresent()
@@ -184,33 +213,40 @@
                 : OptionalLong.empty();
     }
 
-    /** How long ago the platform confirmed this configuration; empty where it never did. */
+    /**
+     * Returns how long ago the platform confirmed this VM's configuration as current, either to
+     * this VM or to a peer that it is synchronized with; empty if it never did.
+     */
     public OptionalLong platformAgeNanos(long nowNanos) {
-        return platformAsOf.isPresent()
-                ? OptionalLong.of(nowNanos - platformAsOf.getAsLong())
+        return platformSyncedAsOf.isPresent()
+                ? OptionalLong.of(nowNanos - platformSyncedAsOf.getAsLong())
                 : OptionalLong.empty();
     }
 
-    /** What is known of a VM other than this one. */
+    /** Returns the status of another VM; empty if nothing has been received about it. */
     public Optional<MemberStatus> member(String vm) {
         return Optional.ofNullable(members.get(vm));
     }
 
-    /** Whether the VM was heard of, by this VM or through another, within the time given. */
+    /**
+     * Returns whether the VM was last seen, by this VM or according to a peer's report, within the
+     * given time.
+     */
     public boolean seenWithin(String vm, long nowNanos, long withinNanos) {
         return vm.equals(self.vm())
                 || member(vm)
-                        .filter(known -> nowNanos - known.lastSeenNanos() <= withinNanos)
+                        .filter(status -> nowNanos - status.lastSeenNanos() <= withinNanos)
                         .isPresent();
     }
 
     /**
-     * Whether an incarnation may be taken for gone: replaced, or not heard of for so long.
+     * Returns whether an incarnation is to be treated as dead: its VM runs another incarnation, or
+     * the VM was not seen for the given time.
      *
-     * <p>Two things guard against taking a living VM for gone. One that started lately has heard of
-     * nobody yet, so it judges nobody before it has listened for the time given; without that, each
-     * restart takes the claims of all others over. And one that is cut off hears nobody, so it
-     * judges only while it hears a majority.
+     * <p>Two conditions keep a living VM from being treated as dead. A VM that has just started has
+     * not seen any other VM yet, so it treats none as dead until it has run for the given time;
+     * without this, each restarted VM would acquire the claims of all others. A VM that is cut off
+     * sees no other VM, so it treats none as dead while it does not see a majority of the roster.
      */
     public boolean isDead(MemberIdentity identity, long nowNanos, long deadAfterNanos) {
         boolean listenedLongEnough = nowNanos - startNanos >= deadAfterNanos;
@@ -220,19 +256,21 @@
         if (!reachesMajority(nowNanos, deadAfterNanos)) {
             return false;
         }
-        Optional<MemberStatus> known = member(identity.vm());
+        Optional<MemberStatus> lastStatus = member(identity.vm());
         boolean replaced =
                 identity.vm().equals(self.vm())
-                        || known.filter(held -> !held.identity().equals(identity)).isPresent();
+                        || lastStatus
+                                .filter(status -> !status.identity().equals(identity))
+                                .isPresent();
         return replaced || !seenWithin(identity.vm(), nowNanos, deadAfterNanos);
     }
 
     private boolean reachesMajority(long nowNanos, long withinNanos) {
-        long heard = roster.stream().filter(vm -> seenWithin(vm, nowNanos, withinNanos)).count();
-        return heard >= majority();
+        long seen = roster.stream().filter(vm -> seenWithin(vm, nowNanos, withinNanos)).count();
+        return seen >= majority();
     }
 
-    /** The incarnations known here, this VM's own included. */
+    /** Returns the index of all incarnations known to this VM, including its own. */
     public MemberIndex roll() {
         List<MemberIdentity> known = new ArrayList<>();
         known.add(self);
@@ -240,20 +278,20 @@
         return MemberIndex.of(known);
     }
 
-    /** This VM's own report, to answer a probe with. */
+    /** Returns the report with which this VM responds to a probe. */
     public ProbeReport report(long nowNanos, boolean draining) {
         List<ProbeReport.MemberAge> ages = new ArrayList<>();
         for (MemberStatus member : members.values()) {
-            OptionalLong covered = member.syncedAsOfNanos();
+            OptionalLong syncedAsOf = member.syncedAsOfNanos();
             ages.add(
                     new ProbeReport.MemberAge(
                             member.identity(),
                             nowNanos - member.lastSeenNanos(),
-                            covered.isPresent()
-                                    ? OptionalLong.of(nowNanos - covered.getAsLong())
+                            syncedAsOf.isPresent()
+                                    ? OptionalLong.of(nowNanos - syncedAsOf.getAsLong())
                                     : OptionalLong.empty(),
                             member.draining()));
         }
-        return new ProbeReport(self, settled, draining, platformAgeNanos(nowNanos), ages);
+        return new ProbeReport(self, caughtUp, draining, platformAgeNanos(nowNanos), ages);
     }
 }
--- a/core/src/main/java/org/bronzelug/core/membership/MemberIdentity.java
+++ b/core/src/main/java/org/bronzelug/core/membership/MemberIdentity.java
@@ -3,13 +3,15 @@
 import java.util.Optional;
 
 /**
- * One life of a VM: its name from the settings and an incarnation drawn anew at each start.
+ * One incarnation of a VM: the name of the VM from its settings, and a random id generated at each
+ * start of its daemon.
  *
- * <p>Immutable. Two processes never share an incarnation (64 random bits), so a paused VM that
- * wakes after its replacement started is told apart from it.
+ * <p>Immutable. An incarnation id has 64 random bits, so two processes never share one, and a
+ * suspended VM that resumes after its replacement has started can be told apart from the
+ * replacement.
  */
 public record MemberIdentity(String vm, String incarnation) {
-    /** Reads the text form; empty where the text is not one. */
+    /** Parses the text form {@code vm.incarnation}; returns empty if the text is malformed. */
     public static Optional<MemberIdentity> parse(String text) {
         int dot = text.lastIndexOf('.');
         return dot > 0
--- a/core/src/main/java/org/bronzelug/core/membership/MemberIndex.java
+++ b/core/src/main/java/org/bronzelug/core/membership/MemberIndex.java
@@ -7,10 +7,11 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * The incarnations that a VM knows of, itself included, in the order of their names.
+ * The incarnations that a VM knows, including its own, ordered by VM name.
  *
- * <p>Two VMs whose rolls have the same digest need no names to speak of members: the place in the
- * roll says which one is meant. Immutable.
+ * <p>Messages between two VMs whose indexes have the same digest identify a member by its position
+ * in the index instead of by its name and incarnation. The digest covers the incarnations as well,
+ * so a position never refers to a previous incarnation of a restarted VM. Immutable.
  */
 public final class MemberIndex {
     private static final LongHashFunction HASH = LongHashFunction.xx3();
@@ -23,7 +24,7 @@
         this.digest = digest;
     }
 
-    /** The roll of these incarnations, at most one a VM. */
+    /** Creates the index of the given incarnations, at most one for each VM. */
     public static MemberIndex of(Collection<MemberIdentity> identities) {
         List<MemberIdentity> sorted = new ArrayList<>(identities);
         sorted.sort(Comparator.comparing(MemberIdentity::vm));
@@ -38,7 +39,10 @@
         return members;
     }
 
-    /** Of names and incarnations; equal for equal rolls, and else different but by bad luck. */
+    /**
+     * Returns a 64-bit hash of the names and incarnations. Equal indexes have equal digests;
+     * different indexes have equal digests only through a hash collision.
+     */
     public long digest() {
         return digest;
     }
--- a/core/src/main/java/org/bronzelug/core/membership/MemberStatus.java
+++ b/core/src/main/java/org/bronzelug/core/membership/MemberStatus.java
@@ -3,13 +3,18 @@
 import java.util.OptionalLong;
 
 /**
- * What is known of one VM. Immutable.
+ * What this VM knows about another VM.
  *
- * @param identity the newest incarnation heard of
- * @param lastSeenNanos local monotonic time at which it lived
- * @param syncedAsOfNanos local monotonic time; everything that the VM, while settled, knew then is
- *     known here; empty where there was no such time
- * @param draining whether the VM has said that it is about to stop
+ * <p>Invariant: from one status of a VM to the next, neither of the two times decreases, whatever
+ * the order in which reports arrive. Immutable.
+ *
+ * @param identity the newest incarnation seen
+ * @param lastSeenNanos the latest local monotonic time at which the VM is known to have been
+ *     running
+ * @param syncedAsOfNanos the local monotonic time as of which this VM is synchronized with the
+ *     other one: all that the other VM held at that time, while it was caught up, is held here too;
+ *     empty if there is no such time
+ * @param draining whether the VM has announced that it is about to stop
  */
 public record MemberStatus(
         MemberIdentity identity,
--- a/core/src/main/java/org/bronzelug/core/membership/PlatformReaders.java
+++ b/core/src/main/java/org/bronzelug/core/membership/PlatformReaders.java
@@ -9,31 +9,39 @@
 import java.util.stream.Collectors;
 
 /**
- * Which VMs read the platform themselves, and from whom the others read.
+ * Decides which VMs read the configuration from the platform and from which VMs all others read it.
  *
- * <p>Each call to the platform is paid for and its rates grow more slowly than the fleet, so in a
- * large fleet a few VMs, spread over the availability zones, watch the platform and the others read
- * from them. Each VM decides for itself from the VMs that it hears; where two disagree, one too
- * many reads.
+ * <p>Each call to the platform is paid for, and the call rate that it admits grows more slowly than
+ * the fleet. So in a large fleet only a few VMs, the readers, watch the platform; all other VMs
+ * read from them. Each VM decides for itself, from the VMs that it can reach; if two VMs disagree,
+ * one more VM than necessary reads from the platform.
  *
- * <p>The failure that the choice guards against: all readers are cut off, and the fleet goes on
- * with withdrawn keys. Readers are spread over zones, two in each where the zones are few; a reader
- * that does not reach the platform goes on trying and is replaced by the next ones; a VM that hears
- * no reader reads itself. Stateless and thread-safe.
+ * <p>If all readers were cut off and not replaced, the fleet would keep serving with withdrawn
+ * keys. Therefore readers are spread over the availability zones, two per zone if there are few
+ * zones; a reader that cannot reach the platform keeps trying, and the next VMs of its zone read in
+ * addition; and a VM that can reach no reader reads from the platform itself. Stateless and
+ * thread-safe.
  */
 public final class PlatformReaders {
-    /** Up to so many VMs, each reads: the calls saved are few, and any reader may fail. */
+    /**
+     * The largest fleet in which every VM reads from the platform: sharing readers would save few
+     * calls there, and any reader may fail.
+     */
     public static final int SMALL_FLEET = 10;
 
-    /** Readers of the whole fleet: some may be restarted or frozen just when another is cut off. */
-    private static final int LEAST_READERS = 4;
+    /**
+     * The minimum number of readers in the fleet: while one is cut off, another may be restarting
+     * or suspended.
+     */
+    private static final int MINIMUM_READERS = 4;
 
-    /** Where the zones are fewer than the readers, each has two. */
-    private static final int MOST_PER_ZONE = 2;
+    /** The number of readers per zone if there are fewer zones than {@link #MINIMUM_READERS}. */
+    private static final int MAXIMUM_PER_ZONE = 2;
 
     /**
-     * Bounds who takes the place of readers that are cut off, so that an outage of the platform
-     * does not bring the whole fleet to it.
+     * The number of VMs per zone among which readers are chosen. It limits how many VMs replace
+     * readers that are cut off, so that an outage of the platform does not make the whole fleet
+     * call it.
      */
     private static final int CANDIDATES_PER_ZONE = 4;
 
@@ -42,67 +50,70 @@
     private PlatformReaders() {}
 
     /**
-     * A VM that is heard.
+     * A VM among which the readers are chosen.
      *
      * @param name of the VM
-     * @param availabilityZone where it runs
-     * @param address where peers read from it
-     * @param reads whether it reads the platform and reaches it
-     * @param lost whether it tries to and does not reach it
+     * @param availabilityZone in which the VM runs
+     * @param address at which peers read from the VM
+     * @param reads whether the VM reads from the platform and reaches it
+     * @param lost whether the VM tries to read from the platform and does not reach it
      */
     public record Candidate(
             String name, String availabilityZone, String address, boolean reads, boolean lost) {}
 
     /**
-     * Whether a VM is to read the platform.
+     * Returns whether a VM is to read from the platform.
      *
      * @param self the VM
-     * @param heard the other VMs that are heard
-     * @param fleetSize VMs whose addresses are known, heard or not
+     * @param reachable the other VMs that it can reach
+     * @param fleetSize number of VMs whose addresses are known, reachable or not
      */
-    public static boolean isReader(Candidate self, Collection<Candidate> heard, int fleetSize) {
-        if (fleetSize <= SMALL_FLEET || heard.isEmpty()) {
+    public static boolean isReader(Candidate self, Collection<Candidate> reachable, int fleetSize) {
+        if (fleetSize <= SMALL_FLEET || reachable.isEmpty()) {
             return true;
         }
-        int readers = readersPerZone(self, heard);
-        List<Candidate> zone = zone(self, heard);
+        int readers = readersPerZone(self, reachable);
+        List<Candidate> zone = zone(self, reachable);
         List<String> ranked = ranked(zone);
         List<String> candidates = ranked.subList(0, Math.min(CANDIDATES_PER_ZONE, ranked.size()));
         if (isRankedWithin(self.name(), candidates, readers)) {
             return true;
         }
-        List<String> reaching = candidates.stream().filter(name -> !isLost(name, zone)).toList();
-        return isRankedWithin(self.name(), reaching, readers);
+        List<String> reachingPlatform =
+                candidates.stream().filter(name -> !hasLostPlatform(name, zone)).toList();
+        return isRankedWithin(self.name(), reachingPlatform, readers);
     }
 
     /**
-     * The place of a VM among those of its zone, 0 for the one that reads first. VMs that start
-     * together and hear no reader yet read one after the other in this order.
+     * Returns the rank of a VM among the VMs of its zone; the VM with rank 0 is the first to read
+     * from the platform. VMs that start together, with no reader reachable yet, begin to read one
+     * after the other in this order.
      *
-     * @param known the other VMs that are registered or heard
+     * @param known the other VMs that are registered or reachable
      */
     public static int rank(Candidate self, Collection<Candidate> known) {
         return ranked(zone(self, known)).indexOf(self.name());
     }
 
     /**
-     * Whether a VM checks for all that no change was missed: the first of those that reach the
-     * platform. Where two VMs disagree, both check.
+     * Returns whether a VM checks, for the whole fleet, that no watch of the platform has missed a
+     * change. The first VM, in rendezvous order, of those that reach the platform does so; if two
+     * VMs disagree, both check.
      */
-    public static boolean isChecker(Candidate self, Collection<Candidate> heard) {
-        List<String> reaching =
-                heard.stream()
+    public static boolean isChecker(Candidate self, Collection<Candidate> reachable) {
+        List<String> reachingPlatform =
+                reachable.stream()
                         .filter(other -> other.reads() && !other.lost())
                         .map(Candidate::name)
                         .collect(Collectors.toCollection(ArrayList::new));
-        reaching.add(self.name());
-        return self.reads() && Rendezvous.order(KEY, reaching).get(0).equals(self.name());
+        reachingPlatform.add(self.name());
+        return self.reads() && Rendezvous.order(KEY, reachingPlatform).get(0).equals(self.name());
     }
 
-    private static List<Candidate> zone(Candidate self, Collection<Candidate> others) {
+    private static List<Candidate> zone(Candidate self, Collection<Candidate> candidates) {
         List<Candidate> zone = new ArrayList<>();
         zone.add(self);
-        others.stream()
+        candidates.stream()
                 .filter(other -> other.availabilityZone().equals(self.availabilityZone()))
                 .forEach(zone::add);
         return zone;
@@ -112,11 +123,11 @@
         return Rendezvous.order(KEY, zone.stream().map(Candidate::name).distinct().toList());
     }
 
-    private static int readersPerZone(Candidate self, Collection<Candidate> heard) {
+    private static int readersPerZone(Candidate self, Collection<Candidate> reachable) {
         Set<String> zones = new HashSet<>();
         zones.add(self.availabilityZone());
-        heard.forEach(other -> zones.add(other.availabilityZone()));
-        return zones.size() >= LEAST_READERS ? 1 : MOST_PER_ZONE;
+        reachable.forEach(other -> zones.add(other.availabilityZone()));
+        return zones.size() >= MINIMUM_READERS ? 1 : MAXIMUM_PER_ZONE;
     }
 
     private static boolean isRankedWithin(String name, List<String> ranked, int readers) {
@@ -124,13 +135,16 @@
         return rank >= 0 && rank < readers;
     }
 
-    private static boolean isLost(String name, List<Candidate> zone) {
+    private static boolean hasLostPlatform(String name, List<Candidate> zone) {
         return zone.stream().anyMatch(other -> other.name().equals(name) && other.lost());
     }
 
-    /** The VMs to read from, the best first: near ones before others, spread over the readers. */
-    public static List<Candidate> sources(Candidate self, Collection<Candidate> heard) {
-        return heard.stream()
+    /**
+     * Returns the VMs to read from, in order of preference: VMs of the same zone first, and within
+     * a zone in an order that spreads the reading VMs over the readers.
+     */
+    public static List<Candidate> sources(Candidate self, Collection<Candidate> reachable) {
+        return reachable.stream()
                 .filter(other -> other.reads() && !other.lost())
                 .sorted(
                         Comparator.comparing(
--- a/core/src/main/java/org/bronzelug/core/membership/ProbeReport.java
+++ b/core/src/main/java/org/bronzelug/core/membership/ProbeReport.java
@@ -4,15 +4,16 @@
 import java.util.OptionalLong;
 
 /**
- * A peer's answer to a probe: what the peer knew at the moment of its answer. It holds ages, not
- * times, so that no two clocks are compared. Immutable.
+ * A peer's response to a probe: what the peer knew when it responded.
  *
- * @param peer the peer that answered
- * @param settled whether the peer counts for a majority: see {@link Freshness}
+ * <p>The report holds ages instead of times, so that no two clocks are compared. Immutable.
+ *
+ * @param peer the peer that responded
+ * @param settled whether the peer is caught up and so counts for a majority: see {@link Freshness}
  * @param draining whether the peer is about to stop
- * @param platformAgeNanos how long before the answer the platform confirmed the peer's
- *     configuration as the newest; empty where it never did
- * @param members what the peer knows of others
+ * @param platformAgeNanos how long before the response the platform confirmed the peer's
+ *     configuration as current; empty if it never did
+ * @param members what the peer knows about other VMs
  */
 public record ProbeReport(
         MemberIdentity peer,
@@ -26,12 +27,13 @@
     }
 
     /**
-     * One VM in a report.
+     * What the peer knows about one other VM.
      *
-     * @param identity its newest incarnation
-     * @param lastSeenAgeNanos how long ago it lived
-     * @param syncedAgeNanos how long ago the peer's configuration covered its; empty: never
-     * @param draining whether it is about to stop
+     * @param identity the newest incarnation seen
+     * @param lastSeenAgeNanos how long ago the VM was last known to be running
+     * @param syncedAgeNanos how long ago the VM held, while caught up, a configuration that the
+     *     peer fully holds; empty if never: see {@link MemberStatus}
+     * @param draining whether the VM is about to stop
      */
     public record MemberAge(
             MemberIdentity identity,
--- a/core/src/main/java/org/bronzelug/core/membership/ProbeTargets.java
+++ b/core/src/main/java/org/bronzelug/core/membership/ProbeTargets.java
@@ -8,46 +8,53 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses whom to probe next.
+ * Chooses the VMs to probe next.
  *
- * <p>The failure it guards against: a third of the VMs is cut off while the platform is down; a
- * third of the probes goes to them in vain, the others' knowledge spreads too slowly, and VMs that
- * could serve go stale and refuse. So probes go to VMs heard of lately, but for one now and then,
- * by which a VM that comes back is found; it probes the others as well, so that is enough.
+ * <p>Probes go to VMs that were seen recently; only one round in several also probes a VM that was
+ * not, to find VMs that have come back. This is enough, since a VM that comes back probes the
+ * others as well.
+ *
+ * <p>Without this preference, when a third of the VMs is cut off while the platform is down, a
+ * third of the probes would be sent to them in vain. State updates would spread too slowly between
+ * the remaining VMs, and VMs that could serve would exceed the staleness bound and reject requests.
  *
  * <p>Stateless and thread-safe.
  */
 public final class ProbeTargets {
     /**
-     * So long a VM counts as heard of lately, in nanoseconds. Much longer than news takes to
-     * spread: with 1.5 s, and news of 1.4 s, VMs took each other for lost, probed fewer, heard
-     * still less, and two thirds of the time none was fresh (docs/MEASUREMENTS.md "Freshness").
+     * How long a VM counts as recently seen, in nanoseconds. Must be much longer than a state
+     * update takes to spread: with 1.5 s, and updates that took 1.4 s, VMs considered each other
+     * lost, probed fewer VMs and therefore saw even fewer, and for two thirds of the time no VM was
+     * fresh (docs/MEASUREMENTS.md "Freshness").
      */
     public static final long REMEMBERED_NANOS = 4_500_000_000L;
 
-    /** One round in so many asks a VM not heard of lately. */
-    static final int ROUNDS_A_SEARCH = 8;
+    /** One round in this many probes a VM that was not seen recently. */
+    static final int ROUNDS_PER_SEARCH = 8;
 
     private ProbeTargets() {}
 
     /**
-     * Chooses at random.
+     * Chooses VMs at random.
      *
-     * @param heard what names the VMs heard of lately
-     * @param unheard what names the others
-     * @return so many different ones, or all where there are fewer
+     * @param recentlySeen identifiers of the VMs that were seen recently
+     * @param notRecentlySeen identifiers of all other VMs
+     * @return {@code count} different identifiers, or all if there are fewer
      */
     public static <T> List<T> choose(
-            Collection<T> heard, Collection<T> unheard, int count, RandomGenerator random) {
-        List<T> likely = shuffled(heard, random);
-        List<T> unlikely = shuffled(unheard, random);
-        boolean searches = !unlikely.isEmpty() && random.nextInt(ROUNDS_A_SEARCH) == 0;
+            Collection<T> recentlySeen,
+            Collection<T> notRecentlySeen,
+            int count,
+            RandomGenerator random) {
+        List<T> recent = shuffled(recentlySeen, random);
+        List<T> remaining = shuffled(notRecentlySeen, random);
+        boolean searches = !remaining.isEmpty() && random.nextInt(ROUNDS_PER_SEARCH) == 0;
         List<T> order = new ArrayList<>();
         if (searches) {
-            order.add(unlikely.get(0));
+            order.add(remaining.get(0));
         }
-        order.addAll(likely);
-        order.addAll(searches ? unlikely.subList(1, unlikely.size()) : unlikely);
+        order.addAll(recent);
+        order.addAll(searches ? remaining.subList(1, remaining.size()) : remaining);
         return List.copyOf(order.subList(0, Math.min(count, order.size())));
     }
 
--- a/core/src/main/java/org/bronzelug/core/membership/Rendezvous.java
+++ b/core/src/main/java/org/bronzelug/core/membership/Rendezvous.java
@@ -7,8 +7,9 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Rendezvous (highest random weight) hashing: every VM that knows the same names orders them alike
- * for a key, with no state; a name that comes or goes moves only its own keys.
+ * Rendezvous hashing (highest random weight): all VMs that know the same names order them alike for
+ * a key, without shared state. Adding or removing a name moves only the keys for which that name is
+ * the first choice.
  *
  * <p>Stateless and thread-safe.
  */
@@ -17,19 +18,19 @@
 
     private Rendezvous() {}
 
-    /** The names in the order of their weight for the key, the first choice first. */
+    /** Returns the names by descending weight for the key; the first choice comes first. */
     public static List<String> order(String key, Collection<String> names) {
         return names.stream()
                 .sorted(Comparator.comparingLong((String name) -> weight(key, name)).reversed())
                 .toList();
     }
 
-    /** The first choice for the key; empty where there are no names. */
+    /** Returns the first choice for the key; empty if there are no names. */
     public static Optional<String> first(String key, Collection<String> names) {
         return names.stream().max(Comparator.comparingLong(name -> weight(key, name)));
     }
 
-    /** The weight of a name for a key: uniform over all longs. */
+    /** Returns the weight of a name for a key, uniformly distributed over all longs. */
     public static long weight(String key, String name) {
         return HASH.hashChars(key + "\u0000" + name);
     }
--- a/core/src/main/java/org/bronzelug/core/membership/package-info.java
+++ b/core/src/main/java/org/bronzelug/core/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Which VMs are there, and how old this VM's knowledge is (DESIGN.md "Freshness"). */
+/** Fleet membership and the staleness bound of a VM's configuration (DESIGN.md "Freshness"). */
 package org.bronzelug.core.membership;
--- a/core/src/test/java/org/bronzelug/core/membership/FleetModel.java
+++ b/core/src/test/java/org/bronzelug/core/membership/FleetModel.java
@@ -18,15 +18,17 @@
 import org.bronzelug.core.limit.TokenBucket;
 
 /**
- * A fleet on a virtual clock: the real decisions, joined by messages that get lost and late.
+ * Models a fleet on a virtual clock: the production decision classes, connected by messages that
+ * are lost or delayed.
  *
- * <p>VMs restart and forget, pause and wake, are cut off from each other and from the platform, and
- * their clocks drift; one writer commits changes, VMs take a claim over, and all of them admit
- * requests of one team. It records what breaks an invariant. Not thread-safe.
+ * <p>VMs restart and lose their state, are suspended and resume, are cut off from each other and
+ * from the platform, and have drifting clocks. A writer commits changes, VMs acquire a claim, and
+ * all of them admit requests of one team. The model records each violation of an invariant. Not
+ * thread-safe.
  */
 final class FleetModel {
     static final long MILLI = 1_000_000;
-    static final long LIMIT = 2_000 * MILLI;
+    static final long STALENESS_BOUND = 2_000 * MILLI;
     private static final String KEY_OBJECT = "team/one";
     private static final String TEAM = "one";
     private static final TeamRate RATE = new TeamRate(100, 50);
@@ -41,16 +43,19 @@
     private final Map<Long, MemberIdentity> claimHolders = new HashMap<>();
     private final Set<String> cutLinks = new HashSet<>();
     private final List<String> violations = new ArrayList<>();
-    private final List<double[]> admitted = new ArrayList<>();
+    private final List<double[]> admissions = new ArrayList<>();
     private long now;
     private long sequence;
     private long revision;
 
-    /** When each version of the key object came into force; a later one excuses no earlier one. */
+    /**
+     * When each version of the key object came into force. All versions are kept, since a newer
+     * version does not excuse a VM that lacks an older one.
+     */
     private final TreeMap<Long, Long> inForceSince = new TreeMap<>();
 
     private int served;
-    private TokenBucket central;
+    private TokenBucket centralBucket;
 
     FleetModel(int size, long seed, FleetFaults faults) {
         this.random = new Random(seed);
@@ -62,7 +67,7 @@
         nodes.forEach(Node::restart);
     }
 
-    /** Runs for so long, with faults, and returns what broke an invariant. */
+    /** Runs with faults for the given time and returns the violated invariants. */
     List<String> run(long nanos) {
         for (Node node : nodes) {
             at(random.nextLong(50 * MILLI), () -> tick(node));
@@ -83,19 +88,19 @@
     }
 
     int admittedCount() {
-        return admitted.size();
+        return admissions.size();
     }
 
     private void tick(Node node) {
         at(now + (30 + random.nextInt(60)) * MILLI, () -> tick(node));
-        if (node.isPaused()) {
+        if (node.isSuspended()) {
             return;
         }
-        node.probeSomebody();
+        node.probeRandomPeer();
         if (random.nextInt(4) == 0) {
             node.readPlatform();
         }
-        node.considerClaim();
+        node.checkClaim();
         checkServing(node);
     }
 
@@ -107,69 +112,73 @@
             long version = node.configuration.version(KEY_OBJECT);
             boolean stale =
                     inForceSince.tailMap(version, false).values().stream()
-                            .anyMatch(since -> now > since + LIMIT * 1.02);
+                            .anyMatch(since -> now > since + STALENESS_BOUND * 1.02);
             if (stale) {
-                violations.add(node.identity + " serves an old key at " + now / MILLI + " ms");
+                violations.add(node.identity + " serves an outdated key at " + now / MILLI + " ms");
             }
         }
-        List<Node> users = nodes.stream().filter(Node::usesClaim).toList();
-        if (users.size() > 1) {
+        List<Node> claimUsers = nodes.stream().filter(Node::usesClaim).toList();
+        if (claimUsers.size() > 1) {
             violations.add(
-                    "two use one claim at "
+                    "two VMs use one claim at "
                             + now / MILLI
                             + " ms: "
-                            + users.stream().map(user -> user.identity).toList());
+                            + claimUsers.stream().map(claimUser -> claimUser.identity).toList());
         }
         if (random.nextBoolean()) {
-            users.forEach(user -> reserve(user, 1 + random.nextInt(40)));
+            claimUsers.forEach(claimUser -> reserve(claimUser, 1 + random.nextInt(40)));
         }
     }
 
-    /** A request of the team, at the VM that holds its rate, and at one central bucket. */
-    private void reserve(Node user, double amount) {
+    /**
+     * Reserves tokens for a request of the team, on the VM that holds the team's rate and in a
+     * central bucket for comparison.
+     */
+    private void reserve(Node claimUser, double amount) {
         String id = "r" + sequence++;
-        long local = user.clock();
-        Admission admission = user.shares.reserve(id, TEAM, RATE, amount, local, true);
+        long local = claimUser.clock();
+        Admission admission = claimUser.shares.reserve(id, TEAM, RATE, amount, local, true);
         boolean granted = admission instanceof Admission.Granted;
         if (granted) {
-            admitted.add(new double[] {now, amount});
+            admissions.add(new double[] {now, amount});
         }
-        if (central == null) {
-            central = new TokenBucket(RATE.tokensPerSecond(), RATE.burstTokens(), 50, local);
+        if (centralBucket == null) {
+            centralBucket = new TokenBucket(RATE.tokensPerSecond(), RATE.burstTokens(), 50, local);
         }
-        if (!faults.any() && central.reserve(id, amount, local) != granted) {
-            violations.add("one central bucket decides otherwise at " + now / MILLI + " ms");
+        if (!faults.any() && centralBucket.reserve(id, amount, local) != granted) {
+            violations.add("a central bucket decides differently at " + now / MILLI + " ms");
         }
     }
 
     private void checkRate() {
-        // The worst interval that ends at each admission, in one pass.
+        // In one pass, the interval with the most tokens among those that end at each admission.
         double level = 0;
         double last = 0;
-        for (double[] admission : admitted) {
+        for (double[] admission : admissions) {
             double elapsed = (admission[0] - last) / 1e9;
             level = Math.max(0, level - elapsed * RATE.tokensPerSecond() * 1.006) + admission[1];
             last = admission[0];
             if (level > RATE.burstTokens() + 1e-3) {
-                violations.add("admitted " + level + " at once at " + (long) last / MILLI + " ms");
+                violations.add(
+                        "admitted " + level + " tokens at once at " + (long) last / MILLI + " ms");
                 return;
             }
         }
     }
 
     private void change() {
-        int pause = faults.frequent() ? 100 : 1_500;
-        at(now + (pause + random.nextInt(2_500)) * MILLI, this::change);
+        int intervalMillis = faults.frequent() ? 100 : 1_500;
+        at(now + (intervalMillis + random.nextInt(2_500)) * MILLI, this::change);
         Node writer = nodes.get(random.nextInt(nodes.size()));
-        if (!writer.isPaused() && writer.reachesPlatform()) {
+        if (!writer.isSuspended() && writer.reachesPlatform()) {
             VersionedObject object = commit(KEY_OBJECT);
             writer.announce(object, () -> inForceSince.put(object.version(), now));
         }
     }
 
     private void injectFault() {
-        int pause = faults.frequent() ? 100 : 800;
-        at(now + (pause / 4 + random.nextInt(pause)) * MILLI, this::injectFault);
+        int intervalMillis = faults.frequent() ? 100 : 800;
+        at(now + (intervalMillis / 4 + random.nextInt(intervalMillis)) * MILLI, this::injectFault);
         Node node = nodes.get(random.nextInt(nodes.size()));
         switch (random.nextInt(8)) {
             case 0 -> {
@@ -178,14 +187,14 @@
                 }
             }
             case 1 -> {
-                if (faults.pauses()) {
-                    node.pausedUntil = now + random.nextInt(5_000) * MILLI;
+                if (faults.suspensions()) {
+                    node.suspendedUntil = now + random.nextInt(5_000) * MILLI;
                 }
             }
             case 2, 3 -> {
-                if (faults.cuts() && random.nextBoolean()) {
-                    cut(node);
-                } else if (faults.cuts()) {
+                if (faults.partitions() && random.nextBoolean()) {
+                    cutLinksOf(node);
+                } else if (faults.partitions()) {
                     partition();
                 }
             }
@@ -200,22 +209,24 @@
         }
     }
 
-    /** Two sides that can't reach each other; the platform is reached from one of them. */
+    /**
+     * Splits the fleet into two sides that cannot reach each other; only one reaches the platform.
+     */
     private void partition() {
         cutLinks.clear();
         Set<Node> side = new HashSet<>();
         nodes.stream().filter(node -> random.nextBoolean()).forEach(side::add);
-        for (Node one : nodes) {
-            one.platformReachable = side.contains(one);
-            for (Node other : nodes) {
-                if (side.contains(one) != side.contains(other)) {
-                    cutLinks.add(one.vm + ">" + other.vm);
+        for (Node from : nodes) {
+            from.platformReachable = side.contains(from);
+            for (Node to : nodes) {
+                if (side.contains(from) != side.contains(to)) {
+                    cutLinks.add(from.vm + ">" + to.vm);
                 }
             }
         }
     }
 
-    private void cut(Node node) {
+    private void cutLinksOf(Node node) {
         for (Node other : nodes) {
             if (random.nextBoolean()) {
                 cutLinks.add(node.vm + ">" + other.vm);
@@ -246,14 +257,14 @@
     }
 
     private void deliver(Node to, Runnable delivery) {
-        if (to.isPaused()) {
-            at(to.pausedUntil + MILLI, () -> deliver(to, delivery));
+        if (to.isSuspended()) {
+            at(to.suspendedUntil + MILLI, () -> deliver(to, delivery));
         } else {
             delivery.run();
         }
     }
 
-    /** Something that happens at a time. */
+    /** An action scheduled for a virtual time. */
     private record Event(long time, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -263,7 +274,7 @@
         }
     }
 
-    /** One VM, over its restarts. */
+    /** One VM, across its restarts. */
     private final class Node {
         private final String vm;
         private final double drift = 1 + (random.nextDouble() - 0.5) / 100;
@@ -272,9 +283,9 @@
         private Freshness freshness;
         private ConfigurationState configuration;
         private RateShares shares;
-        private long pausedUntil;
+        private long suspendedUntil;
         private boolean platformReachable = true;
-        private boolean taking;
+        private boolean acquiring;
 
         private Node(String vm) {
             this.vm = vm;
@@ -283,11 +294,11 @@
         private void restart() {
             identity = new MemberIdentity(vm, "i" + sequence++);
             offset = random.nextLong(1L << 40);
-            freshness = new Freshness(identity, LIMIT, clock());
+            freshness = new Freshness(identity, STALENESS_BOUND, clock());
             configuration = ConfigurationState.empty();
-            shares = new RateShares(identity, LIMIT);
-            pausedUntil = 0;
-            taking = false;
+            shares = new RateShares(identity, STALENESS_BOUND);
+            suspendedUntil = 0;
+            acquiring = false;
             freshness.setRoster(nodes.stream().map(node -> node.vm).toList());
         }
 
@@ -297,11 +308,11 @@
 
         private boolean usesClaim() {
             boolean fresh = freshness.isFresh(clock());
-            return !isPaused() && shares.claim(GROUP).mayUse(clock(), fresh);
+            return !isSuspended() && shares.claim(GROUP).mayUse(clock(), fresh);
         }
 
-        private boolean isPaused() {
-            return now < pausedUntil;
+        private boolean isSuspended() {
+            return now < suspendedUntil;
         }
 
         private boolean reachesPlatform() {
@@ -316,25 +327,25 @@
             }
         }
 
-        private void probeSomebody() {
+        private void probeRandomPeer() {
             Node peer = nodes.get(random.nextInt(nodes.size()));
             long sent = clock();
-            MemberIdentity asker = identity;
+            MemberIdentity prober = identity;
             if (peer != this) {
-                send(this, peer, () -> peer.answer(this, asker, sent));
+                send(this, peer, () -> peer.respond(this, prober, sent));
             }
         }
 
-        private void answer(Node asker, MemberIdentity askerIdentity, long sent) {
+        private void respond(Node prober, MemberIdentity proberIdentity, long sent) {
             ProbeReport report = freshness.report(clock(), false);
             List<VersionedObject> objects = new ArrayList<>(configuration.objects());
             send(
                     this,
-                    asker,
+                    prober,
                     () -> {
-                        if (asker.identity.equals(askerIdentity)) {
-                            asker.install(objects);
-                            asker.freshness.recordReport(report, sent);
+                        if (prober.identity.equals(proberIdentity)) {
+                            prober.install(objects);
+                            prober.freshness.recordReport(report, sent);
                         }
                     });
         }
@@ -345,17 +356,19 @@
             if (!platformReachable) {
                 return;
             }
-            long there = now + random.nextInt(30) * MILLI;
+            long readTime = now + random.nextInt(30) * MILLI;
             at(
-                    there,
+                    readTime,
                     () -> {
                         List<VersionedObject> objects = new ArrayList<>(platform.values());
-                        long back = random.nextInt(400) * MILLI;
-                        at(now + back, () -> deliver(this, () -> take(reader, objects, sent)));
+                        long responseDelay = random.nextInt(400) * MILLI;
+                        at(
+                                now + responseDelay,
+                                () -> deliver(this, () -> installRead(reader, objects, sent)));
                     });
         }
 
-        private void take(MemberIdentity reader, List<VersionedObject> objects, long sent) {
+        private void installRead(MemberIdentity reader, List<VersionedObject> objects, long sent) {
             if (identity.equals(reader)) {
                 install(objects);
                 freshness.recordPlatform(sent);
@@ -367,36 +380,37 @@
             Announcement announcement =
                     new Announcement(freshness.majority(), freshness.isCaughtUp());
             MemberIdentity announcer = identity;
-            push(
+            requestConfirmations(
                     object,
                     announcer,
-                    (peer, settled) -> {
+                    (peer, caughtUp) -> {
                         boolean before = announcement.isFirstComplete();
-                        announcement.confirmFirst(peer.vm(), peer.incarnation(), settled);
+                        announcement.confirmFirst(peer.vm(), peer.incarnation(), caughtUp);
                         if (!before && announcement.isFirstComplete()) {
-                            secondRound(object, announcer, announcement, inForce);
+                            startSecondRound(object, announcer, announcement, inForce);
                         }
                     });
         }
 
-        private void secondRound(
+        private void startSecondRound(
                 VersionedObject object,
                 MemberIdentity announcer,
                 Announcement announcement,
                 Runnable inForce) {
-            push(
+            requestConfirmations(
                     object,
                     announcer,
-                    (peer, settled) -> {
+                    (peer, caughtUp) -> {
                         boolean before = announcement.isInForce();
-                        announcement.confirmSecond(peer.vm(), peer.incarnation(), settled);
+                        announcement.confirmSecond(peer.vm(), peer.incarnation(), caughtUp);
                         if (!before && announcement.isInForce()) {
                             inForce.run();
                         }
                     });
         }
 
-        private void push(VersionedObject object, MemberIdentity announcer, Confirmation taken) {
+        private void requestConfirmations(
+                VersionedObject object, MemberIdentity announcer, ConfirmationListener listener) {
             for (Node peer : nodes) {
                 if (peer == this) {
                     continue;
@@ -407,67 +421,67 @@
                         () -> {
                             peer.install(List.of(object));
                             MemberIdentity confirming = peer.identity;
-                            boolean settled = peer.freshness.isCaughtUp();
+                            boolean caughtUp = peer.freshness.isCaughtUp();
                             send(
                                     peer,
                                     this,
                                     () -> {
                                         if (identity.equals(announcer)) {
-                                            taken.take(confirming, settled);
+                                            listener.onConfirmation(confirming, caughtUp);
                                         }
                                     });
                         });
             }
         }
 
-        private void considerClaim() {
+        private void checkClaim() {
             ExclusiveClaim claim = shares.claim(GROUP);
-            boolean gone =
+            boolean holderDead =
                     claim.holder()
                             .filter(holder -> !freshness.isDead(holder, clock(), 1_500 * MILLI))
                             .isEmpty();
             boolean unconfirmed = claim.heldBySelf() && claim.usableFrom().isEmpty();
-            if (taking || !platformReachable || !freshness.isFresh(clock())) {
+            if (acquiring || !platformReachable || !freshness.isFresh(clock())) {
                 return;
             }
             if (unconfirmed) {
                 confirmClaim(configuration.object(CLAIM_OBJECT).orElseThrow());
-            } else if (gone && !claim.heldBySelf() && random.nextInt(3) == 0) {
-                takeClaim(claim.version());
+            } else if (holderDead && !claim.heldBySelf() && random.nextInt(3) == 0) {
+                acquireClaim(claim.version());
             }
         }
 
-        private void takeClaim(long expectedVersion) {
-            VersionedObject present = platform.get(CLAIM_OBJECT);
-            long presentVersion = present == null ? 0 : present.version();
-            if (presentVersion != expectedVersion) {
+        private void acquireClaim(long expectedVersion) {
+            VersionedObject current = platform.get(CLAIM_OBJECT);
+            long currentVersion = current == null ? 0 : current.version();
+            if (currentVersion != expectedVersion) {
                 return;
             }
-            VersionedObject taken = commit(CLAIM_OBJECT);
-            claimHolders.put(taken.version(), identity);
-            boolean answerLost = faults.any() && random.nextInt(5) == 0;
-            if (!answerLost) {
-                shares.take(GROUP, taken.version(), expectedVersion > 0);
-                confirmClaim(taken);
+            VersionedObject committed = commit(CLAIM_OBJECT);
+            claimHolders.put(committed.version(), identity);
+            boolean responseLost = faults.any() && random.nextInt(5) == 0;
+            if (!responseLost) {
+                shares.take(GROUP, committed.version(), expectedVersion > 0);
+                confirmClaim(committed);
             }
         }
 
-        private void confirmClaim(VersionedObject taken) {
-            taking = true;
-            MemberIdentity taker = identity;
-            at(now + 1_000 * MILLI, () -> taking = taking && !identity.equals(taker));
+        private void confirmClaim(VersionedObject committed) {
+            acquiring = true;
+            MemberIdentity acquirer = identity;
+            at(now + 1_000 * MILLI, () -> acquiring = acquiring && !identity.equals(acquirer));
             announce(
-                    taken,
+                    committed,
                     () -> {
-                        if (identity.equals(taker)) {
-                            shares.confirm(GROUP, taken.version(), clock());
+                        if (identity.equals(acquirer)) {
+                            shares.confirm(GROUP, committed.version(), clock());
                         }
                     });
         }
     }
 
-    /** Takes one confirmation of an announcement. */
-    private interface Confirmation {
-        void take(MemberIdentity peer, boolean settled);
+    /** Receives the confirmations of an announcement. */
+    private interface ConfirmationListener {
+        void onConfirmation(MemberIdentity peer, boolean caughtUp);
     }
 }
--- a/core/src/test/java/org/bronzelug/core/membership/FleetPropertyTest.java
+++ b/core/src/test/java/org/bronzelug/core/membership/FleetPropertyTest.java
@@ -7,44 +7,52 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Freshness, announcements, claims and rates over arbitrary schedules of a fleet.
+ * Checks freshness, announcements, claims and rates under random schedules of a fleet.
  *
- * <p>What the caller would see: a withdrawn key that works at one VM, or a team that gets twice its
- * rate. The order: a change is committed and confirmed by a majority, or a claim moves; meanwhile
- * VMs restart and forget, pause and wake, or are cut off from each other or the platform. Why: a VM
- * that did not hear goes on as before, unless its knowledge is known to be too old.
+ * <p>Guards against a withdrawn key that still works on one VM, and against a team that is admitted
+ * twice its rate. Both come about when a change is confirmed by a majority or a claim moves while
+ * VMs restart, are suspended, or are cut off from each other or the platform: a VM that has not
+ * received the change continues as before unless it detects that its configuration exceeds the
+ * staleness bound.
  */
 class FleetPropertyTest {
     private static final long DURATION = 40_000 * FleetModel.MILLI;
 
     @Property(seed = "7101")
-    void allFaultsTogether(@ForAll long seed, @ForAll @IntRange(min = 3, max = 7) int size) {
+    void invariantsHoldUnderAllFaults(
+            @ForAll long seed, @ForAll @IntRange(min = 3, max = 7) int size) {
         assertThat(new FleetModel(size, seed, FleetFaults.all()).run(DURATION)).isEmpty();
     }
 
     @Property(seed = "7102")
-    void restartsThatForget(@ForAll long seed, @ForAll @IntRange(min = 3, max = 7) int size) {
+    void invariantsHoldWhenRestartedVmsLoseTheirState(
+            @ForAll long seed, @ForAll @IntRange(min = 3, max = 7) int size) {
         FleetFaults faults = new FleetFaults(true, false, true, true, 5, false);
         assertThat(new FleetModel(size, seed, faults).run(DURATION)).isEmpty();
     }
 
-    /** VMs confirm a change, restart, and settle from others that have not heard of it yet. */
+    /**
+     * VMs confirm a change, restart, and catch up from other VMs that have not received the change
+     * yet.
+     */
     @Property(seed = "7106")
-    void confirmationsThatAreForgotten(
+    void invariantsHoldWhenVmsRestartAfterConfirming(
             @ForAll long seed, @ForAll @IntRange(min = 3, max = 5) int size) {
         FleetFaults faults = FleetFaults.frequentRestarts();
         assertThat(new FleetModel(size, seed, faults).run(DURATION)).isEmpty();
     }
 
     @Property(seed = "7103")
-    void pausedHoldersThatWake(@ForAll long seed, @ForAll @IntRange(min = 2, max = 5) int size) {
+    void invariantsHoldWhenSuspendedHoldersResume(
+            @ForAll long seed, @ForAll @IntRange(min = 2, max = 5) int size) {
         FleetFaults faults = new FleetFaults(false, true, false, false, 0, false);
         assertThat(new FleetModel(size, seed, faults).run(DURATION)).isEmpty();
     }
 
     /**
-     * Without faults the fleet serves all the time, and refuses what one central bucket refuses and
-     * nothing else: safety by refusing all would be no proof.
+     * Without faults, all VMs serve all the time and reject exactly the requests that a central
+     * bucket rejects. Without this check, a fleet that rejects every request would pass all other
+     * tests.
      */
     @Property(seed = "7104")
     void servesAllTheTimeWithoutFaults(@ForAll long seed) {
@@ -54,7 +62,10 @@
         assertThat(model.admittedCount()).isAtLeast(80);
     }
 
-    /** A platform outage alone stops nobody: the majority vouches for the configuration. */
+    /**
+     * A platform outage alone stops no VM from serving: the majority keeps the configuration within
+     * the staleness bound.
+     */
     @Property(seed = "7105")
     void servesThroughPlatformOutages(@ForAll long seed) {
         FleetFaults faults = new FleetFaults(false, false, false, true, 0, false);
--- a/core/src/test/java/org/bronzelug/core/membership/FreshnessTest.java
+++ b/core/src/test/java/org/bronzelug/core/membership/FreshnessTest.java
@@ -7,35 +7,38 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How old a VM's knowledge is, and whom it may take for gone, one report at a time. */
+/**
+ * Checks the staleness of a VM's configuration, and which incarnations the VM treats as dead,
+ * report by report.
+ */
 class FreshnessTest {
-    private static final long LIMIT = 2_000;
+    private static final long STALENESS_BOUND = 2_000;
     private static final long START = 10_000;
 
     private final MemberIdentity self = new MemberIdentity("vm-1", "a");
     private final MemberIdentity second = new MemberIdentity("vm-2", "b");
     private final MemberIdentity third = new MemberIdentity("vm-3", "c");
-    private final Freshness freshness = new Freshness(self, LIMIT, START);
+    private final Freshness freshness = new Freshness(self, STALENESS_BOUND, START);
 
     @BeforeEach
     void setRoster() {
         freshness.setRoster(List.of("vm-1", "vm-2", "vm-3"));
     }
 
-    private static ProbeReport report(MemberIdentity peer, boolean settled) {
-        return new ProbeReport(peer, settled, false, OptionalLong.empty(), List.of());
+    private static ProbeReport report(MemberIdentity peer, boolean caughtUp) {
+        return new ProbeReport(peer, caughtUp, false, OptionalLong.empty(), List.of());
     }
 
     @Test
-    void isFreshForTheLimitAfterAPlatformReadWasSent() {
+    void isFreshWithinTheBoundAfterAPlatformReadWasSent() {
         assertThat(freshness.isFresh(START)).isFalse();
         freshness.recordPlatform(START);
-        assertThat(freshness.isFresh(START + LIMIT)).isTrue();
-        assertThat(freshness.isFresh(START + LIMIT + 1)).isFalse();
+        assertThat(freshness.isFresh(START + STALENESS_BOUND)).isTrue();
+        assertThat(freshness.isFresh(START + STALENESS_BOUND + 1)).isFalse();
     }
 
     @Test
-    void oneSettledPeerOfThreeIsNotEnoughForAVmThatForgot() {
+    void restartedVmCatchesUpOnlyFromAMajorityOfOtherVms() {
         freshness.recordReport(report(second, true), START + 1);
         assertThat(freshness.isCaughtUp()).isFalse();
         assertThat(freshness.isFresh(START + 2)).isFalse();
@@ -45,7 +48,7 @@
     }
 
     @Test
-    void aPeerThatForgotVouchesForNothing() {
+    void peersThatAreNotCaughtUpDoNotCountForTheMajority() {
         freshness.recordReport(report(second, false), START + 1);
         freshness.recordReport(report(third, false), START + 1);
         assertThat(freshness.isCaughtUp()).isFalse();
@@ -53,11 +56,11 @@
     }
 
     /**
-     * Found by the fleet model: a VM that had just started had heard of nobody, took the holders of
-     * all shares for gone, and every restart moved every share.
+     * Guards against a restarted VM that treats the holders of all shares as dead because it has
+     * not seen any VM yet: every restart would move every share.
      */
     @Test
-    void aVmThatHasJustStartedTakesNobodyForGone() {
+    void vmThatHasJustStartedTreatsNoVmAsDead() {
         freshness.recordReport(report(third, true), START + 1);
         assertThat(freshness.isDead(second, START + 100, 1_500)).isFalse();
         freshness.recordReport(report(third, true), START + 1_400);
@@ -65,22 +68,23 @@
     }
 
     @Test
-    void aVmThatHearsNobodyTakesNobodyForGone() {
+    void vmThatSeesNoOtherVmTreatsNoVmAsDead() {
         assertThat(freshness.isDead(second, START + 60_000, 1_500)).isFalse();
     }
 
     @Test
-    void aReplacedIncarnationIsGoneThoughItsVmIsHeard() {
+    void replacedIncarnationIsDeadAlthoughItsVmIsSeen() {
         freshness.recordReport(report(new MemberIdentity("vm-2", "new"), true), START + 1_500);
         assertThat(freshness.isDead(second, START + 1_600, 1_500)).isTrue();
     }
 
     /**
-     * Found by restarting all VMs: a VM took its own former incarnation for living, since it heard
-     * itself, and as the first choice for its former shares kept everybody from taking them.
+     * Guards against a restarted VM that treats its previous incarnation as living because it sees
+     * its own name. When all VMs restarted, it was the first choice for the shares of its previous
+     * incarnation and kept every VM from acquiring them.
      */
     @Test
-    void onesOwnFormerIncarnationIsGone() {
+    void previousIncarnationOfThisVmIsDead() {
         freshness.recordReport(report(second, true), START + 1_500);
         assertThat(freshness.isDead(new MemberIdentity("vm-1", "old"), START + 1_600, 1_500))
                 .isTrue();
@@ -88,7 +92,7 @@
     }
 
     @Test
-    void knowledgeThroughOthersIsAsOldAsTheyFoundIt() {
+    void agesInAReportAreCountedBackFromTheProbe() {
         ProbeReport.MemberAge age =
                 new ProbeReport.MemberAge(third, 400, OptionalLong.of(500), false);
         freshness.recordPlatform(START);
--- a/core/src/test/java/org/bronzelug/core/membership/PackedAgesTest.java
+++ b/core/src/test/java/org/bronzelug/core/membership/PackedAgesTest.java
@@ -13,19 +13,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Packed ages never claim more than the report that they were packed from, and lose little.
+ * Checks that unpacked ages are never lower than those in the report, and only slightly higher.
  *
- * <p>What the caller would see: a withdrawn key that works at a VM which took itself for fresh. The
- * order: an age is rounded down on its way, and the VM takes its knowledge for newer than it is.
+ * <p>Guards against a withdrawn key that works on a VM which takes itself for fresh: if an age were
+ * rounded down while it travels, the receiver would take its configuration for newer than it is.
  */
 class PackedAgesTest {
     private static final long MILLI = 1_000_000;
-    private static final long LIMIT = 2_000 * MILLI;
+    private static final long STALENESS_BOUND = 2_000 * MILLI;
 
-    /** The roll of some VMs, and what one of them knows of the others. */
-    private record Drawn(MemberIndex roll, List<ProbeReport.MemberAge> members) {}
+    /** The member index of some VMs, and what one of them knows about the others. */
+    private record Sample(MemberIndex memberIndex, List<ProbeReport.MemberAge> members) {}
 
-    private static Drawn draw(Random random) {
+    private static Sample randomSample(Random random) {
         List<MemberIdentity> identities = new ArrayList<>();
         List<ProbeReport.MemberAge> members = new ArrayList<>();
         int count = 1 + random.nextInt(40);
@@ -34,64 +34,68 @@
                     new MemberIdentity("vm-" + index, Long.toHexString(random.nextLong()));
             identities.add(identity);
             if (random.nextInt(8) > 0) {
-                long heard = (long) (random.nextDouble() * 3_000 * MILLI);
-                long lag = random.nextBoolean() ? random.nextInt(40) * MILLI : heard;
-                OptionalLong covered =
+                long lastSeen = (long) (random.nextDouble() * 3_000 * MILLI);
+                long lag = random.nextBoolean() ? random.nextInt(40) * MILLI : lastSeen;
+                OptionalLong syncedAge =
                         random.nextInt(5) == 0
                                 ? OptionalLong.empty()
-                                : OptionalLong.of(heard + lag);
+                                : OptionalLong.of(lastSeen + lag);
                 members.add(
                         new ProbeReport.MemberAge(
-                                identity, heard, covered, random.nextInt(9) == 0));
+                                identity, lastSeen, syncedAge, random.nextInt(9) == 0));
             }
         }
-        return new Drawn(MemberIndex.of(identities), members);
+        return new Sample(MemberIndex.of(identities), members);
     }
 
-    private static List<ProbeReport.MemberAge> thereAndBack(Drawn drawn) {
-        PackedAges packed = PackedAges.pack(drawn.roll, drawn.members);
-        List<ProbeReport.MemberAge> received = PackedAges.unpack(drawn.roll, packed.ages());
+    private static List<ProbeReport.MemberAge> packAndUnpack(Sample sample) {
+        PackedAges packed = PackedAges.pack(sample.memberIndex, sample.members);
+        List<ProbeReport.MemberAge> received = PackedAges.unpack(sample.memberIndex, packed.ages());
         received.addAll(packed.named());
         return received;
     }
 
     @Property(seed = "8801")
-    void neverClaimsMoreThanTheReport(@ForAll long seed) {
-        Drawn drawn = draw(new Random(seed));
-        Map<MemberIdentity, ProbeReport.MemberAge> sent = new HashMap<>();
-        drawn.members.forEach(member -> sent.put(member.identity(), member));
-        for (ProbeReport.MemberAge claim : thereAndBack(drawn)) {
-            ProbeReport.MemberAge known = sent.get(claim.identity());
-            assertThat(known).isNotNull();
-            assertThat(claim.lastSeenAgeNanos()).isAtLeast(known.lastSeenAgeNanos());
-            assertThat(claim.draining()).isEqualTo(known.draining());
-            if (claim.syncedAgeNanos().isPresent()) {
-                assertThat(claim.syncedAgeNanos().getAsLong())
-                        .isAtLeast(known.syncedAgeNanos().orElseThrow());
+    void unpackedAgesAreNeverLowerThanReported(@ForAll long seed) {
+        Sample sample = randomSample(new Random(seed));
+        Map<MemberIdentity, ProbeReport.MemberAge> ageByIdentity = new HashMap<>();
+        sample.members.forEach(member -> ageByIdentity.put(member.identity(), member));
+        for (ProbeReport.MemberAge unpacked : packAndUnpack(sample)) {
+            ProbeReport.MemberAge reported = ageByIdentity.get(unpacked.identity());
+            assertThat(reported).isNotNull();
+            assertThat(unpacked.lastSeenAgeNanos()).isAtLeast(reported.lastSeenAgeNanos());
+            assertThat(unpacked.draining()).isEqualTo(reported.draining());
+            if (unpacked.syncedAgeNanos().isPresent()) {
+                assertThat(unpacked.syncedAgeNanos().getAsLong())
+                        .isAtLeast(reported.syncedAgeNanos().orElseThrow());
             }
         }
     }
 
     @Property(seed = "8802")
-    void losesLittleOfWhatMatters(@ForAll long seed) {
-        Drawn drawn = draw(new Random(seed));
+    void recentlySeenMembersKeepTheirAgesWithinSixtyMilliseconds(@ForAll long seed) {
+        Sample sample = randomSample(new Random(seed));
         Map<MemberIdentity, ProbeReport.MemberAge> received = new HashMap<>();
-        thereAndBack(drawn).forEach(member -> received.put(member.identity(), member));
-        for (ProbeReport.MemberAge member : drawn.members) {
-            if (member.lastSeenAgeNanos() > LIMIT) {
+        packAndUnpack(sample).forEach(member -> received.put(member.identity(), member));
+        for (ProbeReport.MemberAge member : sample.members) {
+            if (member.lastSeenAgeNanos() > STALENESS_BOUND) {
                 continue;
             }
-            ProbeReport.MemberAge claim = received.get(member.identity());
-            assertThat(claim).isNotNull();
-            assertThat(claim.lastSeenAgeNanos() - member.lastSeenAgeNanos()).isAtMost(60 * MILLI);
-            assertThat(claim.syncedAgeNanos().isPresent())
+            ProbeReport.MemberAge unpacked = received.get(member.identity());
+            assertThat(unpacked).isNotNull();
+            assertThat(unpacked.lastSeenAgeNanos() - member.lastSeenAgeNanos())
+                    .isAtMost(60 * MILLI);
+            assertThat(unpacked.syncedAgeNanos().isPresent())
                     .isEqualTo(member.syncedAgeNanos().isPresent());
         }
     }
 
-    /** Another life of a VM makes another roll: its bytes must not speak of the former one. */
+    /**
+     * A restarted VM changes the index, so that ages packed for the previous incarnation are not
+     * applied to the new one.
+     */
     @Test
-    void anotherIncarnationMakesAnotherRoll() {
+    void anotherIncarnationChangesTheDigest() {
         MemberIdentity before = new MemberIdentity("vm-1", "a");
         MemberIdentity after = new MemberIdentity("vm-1", "b");
         assertThat(MemberIndex.of(List.of(before)).digest())
@@ -99,8 +103,8 @@
     }
 
     @Test
-    void bytesOfAnotherLengthSayNothing() {
-        MemberIndex roll = MemberIndex.of(List.of(new MemberIdentity("vm-1", "a")));
-        assertThat(PackedAges.unpack(roll, new byte[] {1, 2})).isEmpty();
+    void bytesOfAnotherLengthAreIgnored() {
+        MemberIndex memberIndex = MemberIndex.of(List.of(new MemberIdentity("vm-1", "a")));
+        assertThat(PackedAges.unpack(memberIndex, new byte[] {1, 2})).isEmpty();
     }
 }
--- a/core/src/test/java/org/bronzelug/core/membership/PlatformReadersTest.java
+++ b/core/src/test/java/org/bronzelug/core/membership/PlatformReadersTest.java
@@ -13,21 +13,25 @@
 import org.bronzelug.core.membership.PlatformReaders.Candidate;
 import org.junit.jupiter.api.Test;
 
-/** Keys are withdrawn and callers go on with them, as no VM of a zone reads the platform. */
+/**
+ * Guards against withdrawn keys that keep working because no VM of an availability zone reads from
+ * the platform.
+ */
 class PlatformReadersTest {
     private static Candidate vm(int number, boolean lost) {
         return new Candidate("vm-" + number, "zone-" + number % 4, "address", !lost, lost);
     }
 
     private static boolean isReader(Candidate self, List<Candidate> all) {
-        List<Candidate> heard = new ArrayList<>(all);
-        heard.remove(self);
-        return PlatformReaders.isReader(self, heard, all.size());
+        List<Candidate> reachable = new ArrayList<>(all);
+        reachable.remove(self);
+        return PlatformReaders.isReader(self, reachable, all.size());
     }
 
     /**
-     * Any VMs may have lost the platform. Each zone with a candidate that has not still has a VM
-     * that reads it; and however many are lost, the platform sees a bounded number.
+     * Any VMs may be unable to reach the platform. Each zone with a candidate that reaches it still
+     * has a reader, and the number of VMs that call the platform stays bounded however many cannot
+     * reach it.
      */
     @Property
     void eachZoneHasReadersAndTheirNumberIsBounded(
@@ -45,7 +49,8 @@
     }
 
     /**
-     * The first of each zone is cut off: another one reads instead, and the first goes on trying.
+     * The reader of each zone is cut off from the platform: another VM reads instead, and the
+     * reader keeps trying.
      */
     @Test
     void readersThatLostThePlatformAreReplaced() {
@@ -53,9 +58,9 @@
         for (int number = 0; number < 40; number++) {
             all.add(vm(number, false));
         }
-        Set<Candidate> before =
+        Set<Candidate> readersBefore =
                 all.stream().filter(self -> isReader(self, all)).collect(Collectors.toSet());
-        List<Candidate> cut =
+        List<Candidate> afterCut =
                 all.stream()
                         .map(
                                 vm ->
@@ -63,17 +68,23 @@
                                                 vm.name(),
                                                 vm.availabilityZone(),
                                                 vm.address(),
-                                                !before.contains(vm),
-                                                before.contains(vm)))
+                                                !readersBefore.contains(vm),
+                                                readersBefore.contains(vm)))
                         .toList();
-        List<Candidate> after = cut.stream().filter(self -> isReader(self, cut)).toList();
-        assertThat(before).hasSize(4);
-        assertThat(after).hasSize(8);
-        assertThat(PlatformReaders.sources(cut.get(0), after).stream().noneMatch(Candidate::lost))
+        List<Candidate> readersAfter =
+                afterCut.stream().filter(self -> isReader(self, afterCut)).toList();
+        assertThat(readersBefore).hasSize(4);
+        assertThat(readersAfter).hasSize(8);
+        assertThat(
+                        PlatformReaders.sources(afterCut.get(0), readersAfter).stream()
+                                .noneMatch(Candidate::lost))
                 .isTrue();
     }
 
-    /** All VMs start at once: if none waited for another, each would list and watch all kinds. */
+    /**
+     * Guards against all VMs listing and watching all kinds of objects at once when they start
+     * together: they wait by rank.
+     */
     @Test
     void vmsOfAZoneThatStartTogetherHaveDifferentRanks() {
         List<Candidate> all = new ArrayList<>();
@@ -88,9 +99,12 @@
         assertThat(ranks).containsExactly(0, 1, 2, 3, 4, 5, 6, 7, 8, 9);
     }
 
-    /** Nobody checks, and a lost watch hides a withdrawn key; or all check, and pay for it. */
+    /**
+     * If no VM checked, a lost watch would hide a withdrawn key; if all did, each check would be
+     * paid for many times.
+     */
     @Property
-    void oneOfTheVmsThatReachThePlatformChecks(
+    void exactlyOneOfTheVmsThatReachThePlatformChecks(
             @ForAll @IntRange(min = 1, max = 120) int size,
             @ForAll @Size(max = 30) Set<@IntRange(max = 119) Integer> lost) {
         List<Candidate> all = new ArrayList<>();
@@ -101,9 +115,9 @@
                 all.stream()
                         .filter(
                                 self -> {
-                                    List<Candidate> heard = new ArrayList<>(all);
-                                    heard.remove(self);
-                                    return PlatformReaders.isChecker(self, heard);
+                                    List<Candidate> reachable = new ArrayList<>(all);
+                                    reachable.remove(self);
+                                    return PlatformReaders.isChecker(self, reachable);
                                 })
                         .toList();
         assertThat(checkers).hasSize(all.stream().allMatch(Candidate::lost) ? 0 : 1);
@@ -111,7 +125,7 @@
     }
 
     @Test
-    void aVmThatHearsNobodyReads() {
+    void vmThatReachesNoOtherVmReadsThePlatform() {
         assertThat(PlatformReaders.isReader(vm(1, false), List.of(), 80)).isTrue();
     }
 }
--- a/core/src/test/java/org/bronzelug/core/membership/ProbeTargetsTest.java
+++ b/core/src/test/java/org/bronzelug/core/membership/ProbeTargetsTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Probes go where they are answered, and still find who comes back.
+ * Checks that most probes go to recently seen VMs, and that a VM that comes back is still found.
  *
- * <p>What the caller would see: refusals by VMs that could serve. The order: the platform is down,
- * a zone is cut off, and too many probes go to it.
+ * <p>Guards against rejections by VMs that could serve: the platform is down, a zone is cut off,
+ * and too many probes are sent to that zone in vain.
  */
 class ProbeTargetsTest {
     private static List<String> names(String prefix, int count) {
@@ -24,34 +24,37 @@
     }
 
     @Property(seed = "8901")
-    void givesAsManyDifferentOnesAsThereAre(
+    void choosesTheRequestedNumberOfDifferentTargets(
             @ForAll long seed,
-            @ForAll @IntRange(min = 0, max = 9) int heard,
-            @ForAll @IntRange(min = 0, max = 9) int unheard,
+            @ForAll @IntRange(min = 0, max = 9) int recentCount,
+            @ForAll @IntRange(min = 0, max = 9) int otherCount,
             @ForAll @IntRange(min = 1, max = 4) int count) {
         List<String> targets =
                 ProbeTargets.choose(
-                        names("heard", heard), names("unheard", unheard), count, new Random(seed));
-        assertThat(targets).hasSize(Math.min(count, heard + unheard));
+                        names("heard", recentCount),
+                        names("unheard", otherCount),
+                        count,
+                        new Random(seed));
+        assertThat(targets).hasSize(Math.min(count, recentCount + otherCount));
         assertThat(targets).containsNoDuplicates();
     }
 
     @Test
-    void asksTheHeardButFindsEveryUnheardInTime() {
+    void prefersRecentlySeenVmsAndStillFindsAllOthers() {
         Random random = new Random(8902);
         Set<String> found = new HashSet<>();
-        int inVain = 0;
+        int otherProbes = 0;
         int rounds = 4_000;
         for (int round = 0; round < rounds; round++) {
             for (String target :
                     ProbeTargets.choose(names("heard", 20), names("unheard", 10), 2, random)) {
                 if (target.startsWith("unheard")) {
                     found.add(target);
-                    inVain++;
+                    otherProbes++;
                 }
             }
         }
         assertThat(found).hasSize(10);
-        assertThat(inVain).isAtMost(rounds / 4);
+        assertThat(otherProbes).isAtMost(rounds / 4);
     }
 }
