--- a/core/src/main/java/org/bronzelug/core/claim/ExclusiveClaim.java
+++ b/core/src/main/java/org/bronzelug/core/claim/ExclusiveClaim.java
@@ -5,21 +5,26 @@
 import org.bronzelug.core.membership.MemberIdentity;
 
 /**
- * One VM's view of a claim that at most one VM may use at a time: a group of teams' rates, or the
- * right to order a pool's runners. The claim is a platform object that names its holder; its
- * version is the fencing number.
+ * One VM's view of a claim: exclusive ownership, without expiry, of something that at most one VM
+ * may use at a time. Examples are a share (a group of teams' rates) and the right to order a pool's
+ * runners to load weights.
  *
- * <p>The failure it guards against: the holder is paused or cut off, another VM takes the claim
- * over, the first wakes and both use it. The symptom is a team with twice its rate or two orders
- * that undo each other. The safeguard: a holder uses the claim only while fresh, so it stops within
- * the freshness limit after the take-over is in force; the next holder waits out that limit, by its
- * own monotonic clock, counted from when a majority confirmed the take-over. No clocks are
- * compared.
+ * <p>A claim is an object in the platform that names its holder; the version of the object is the
+ * fencing token. Invariant: no two VMs use the claim at the same time. A holder uses it only while
+ * its configuration is within the staleness bound (see {@link
+ * org.bronzelug.core.membership.Freshness}). So it stops within that bound after the acquisition by
+ * the next holder is in force. The next holder waits for the staleness bound, counted on its own
+ * monotonic clock from the moment when a majority has confirmed the acquisition. No clocks of two
+ * VMs are compared.
  *
- * <p>Not thread-safe: owned by the control thread.
+ * <p>Without the wait, a holder that is suspended or cut off could resume after another VM has
+ * acquired the claim, and both would use it. The symptom is a team that is admitted at twice its
+ * rate, or two orders that undo each other.
+ *
+ * <p>Not thread-safe: confined to the control thread.
  */
 public final class ExclusiveClaim {
-    /** Above the freshness limit: for drift between two monotonic clocks. */
+    /** Multiple of the staleness bound to wait, to allow for drift between two monotonic clocks. */
     private static final double DRIFT_ALLOWANCE = 1.02;
 
     private final MemberIdentity self;
@@ -27,18 +32,22 @@
     private long version;
     private Optional<MemberIdentity> holder = Optional.empty();
     private OptionalLong usableFrom = OptionalLong.empty();
-    private boolean firstEver;
+    private boolean firstHolder;
 
     /**
      * @param self this VM
-     * @param freshnessLimitNanos the age of knowledge at which every holder stops
+     * @param stalenessBoundNanos the age of its configuration at which every holder stops using the
+     *     claim
      */
-    public ExclusiveClaim(MemberIdentity self, long freshnessLimitNanos) {
+    public ExclusiveClaim(MemberIdentity self, long stalenessBoundNanos) {
         this.self = self;
-        this.waitNanos = (long) (freshnessLimitNanos * DRIFT_ALLOWANCE);
+        this.waitNanos = (long) (stalenessBoundNanos * DRIFT_ALLOWANCE);
     }
 
-    /** Takes in the claim's object as now in force here; an older version changes nothing. */
+    /**
+     * Records the version and holder that the claim's object, as now in force on this VM, names.
+     * Ignored unless the version is newer than the one known.
+     */
     public void observe(long observedVersion, MemberIdentity observedHolder) {
         if (observedVersion <= version) {
             return;
@@ -46,65 +55,72 @@
         version = observedVersion;
         holder = Optional.of(observedHolder);
         usableFrom = OptionalLong.empty();
-        firstEver = false;
+        firstHolder = false;
     }
 
     /**
-     * Notes that this VM itself has committed the version.
+     * Records that this VM itself has committed the version.
      *
-     * @param hadHolder whether an earlier version named a holder; without one no wait is due
+     * @param hadPreviousHolder whether an earlier version named a holder; if not, this VM need not
+     *     wait
      */
-    public void take(long committedVersion, boolean hadHolder) {
+    public void take(long committedVersion, boolean hadPreviousHolder) {
         observe(committedVersion, self);
         if (committedVersion == version) {
-            firstEver = !hadHolder;
+            firstHolder = !hadPreviousHolder;
         }
     }
 
     /**
-     * Notes that a majority has confirmed the version, so that former holders stop from now on.
+     * Records that a majority has confirmed the version. From now on, previous holders stop within
+     * the staleness bound.
      *
-     * @param confirmedVersion the version that a majority of the VMs knows
+     * @param confirmedVersion the version that a majority of the roster holds
      * @param nowNanos the time after the last confirmation arrived
      */
     public void confirm(long confirmedVersion, long nowNanos) {
         if (confirmedVersion == version && heldBySelf() && usableFrom.isEmpty()) {
-            usableFrom = OptionalLong.of(firstEver ? nowNanos : nowNanos + waitNanos);
+            usableFrom = OptionalLong.of(firstHolder ? nowNanos : nowNanos + waitNanos);
         }
     }
 
     /**
-     * The holder of this version has itself handed the claim over, and so has stopped: no wait is
-     * due. Where a newer version is known, another VM has taken the claim and nothing changes.
+     * Records that the holder of the version has transferred the claim to this VM and has stopped
+     * using it, so that this VM need not wait. Ignored if a newer version is known, since then
+     * another VM has acquired the claim.
      */
-    public void inherit(long inheritedVersion, MemberIdentity former, long nowNanos) {
-        observe(inheritedVersion, former);
-        if (inheritedVersion == version) {
+    public void inherit(long transferredVersion, MemberIdentity previousHolder, long nowNanos) {
+        observe(transferredVersion, previousHolder);
+        if (transferredVersion == version) {
             usableFrom = OptionalLong.of(nowNanos);
         }
     }
 
-    /** Whether this VM may use the claim now. */
+    /**
+     * Returns whether this VM may use the claim now.
+     *
+     * @param fresh whether this VM's configuration is within the staleness bound
+     */
     public boolean mayUse(long nowNanos, boolean fresh) {
         return fresh && usableFrom.isPresent() && nowNanos >= usableFrom.getAsLong();
     }
 
-    /** Gives the claim up here, for good: it was handed to an heir. */
+    /** Stops using the claim for good, after this VM has transferred it to a successor. */
     public void release() {
         usableFrom = OptionalLong.empty();
         holder = Optional.empty();
     }
 
-    /** Whether this VM holds the claim as the first one ever. */
+    /** Returns whether this VM is the first holder that the claim ever had. */
     public boolean isFirstEver() {
-        return firstEver;
+        return firstHolder;
     }
 
     public boolean heldBySelf() {
         return holder.filter(self::equals).isPresent();
     }
 
-    /** Whether this VM is the committed holder, but no majority has confirmed it yet. */
+    /** Returns whether this VM is the committed holder, but no majority has confirmed that yet. */
     public boolean isUnconfirmed() {
         return heldBySelf() && usableFrom.isEmpty();
     }
@@ -113,12 +129,15 @@
         return holder;
     }
 
-    /** From when this VM may use the claim, while fresh; empty where it may not. */
+    /**
+     * Returns the time from which this VM may use the claim while its configuration is fresh; empty
+     * if it may not use it.
+     */
     public OptionalLong usableFrom() {
         return usableFrom;
     }
 
-    /** The fencing number; 0 where no VM has held the claim yet. */
+    /** Returns the fencing token; 0 if no VM has held the claim yet. */
     public long version() {
         return version;
     }
--- a/core/src/main/java/org/bronzelug/core/claim/LoadPlan.java
+++ b/core/src/main/java/org/bronzelug/core/claim/LoadPlan.java
@@ -6,8 +6,10 @@
 import java.util.TreeSet;
 
 /**
- * Which runners load new weights next: at most so many at once, since a load gets slower beyond
- * that (2 at the association, 3 at Tapløn).
+ * Chooses the runners that load new weights next.
+ *
+ * <p>The number of simultaneous loads is limited, since beyond some number, which depends on the
+ * site, each load gets slower (2 at the association's site, 3 at Tapløn's).
  *
  * <p>Stateless and thread-safe.
  */
@@ -15,19 +17,19 @@
     private LoadPlan() {}
 
     /**
-     * The runners to order now.
+     * Returns the runners to order now.
      *
-     * @param outdated runners without the wanted weights
-     * @param loading runners that load now, by order of this VM or by their own report, so that
-     *     loads ordered by a former holder count as well
-     * @param concurrentLoads the most loads at once
+     * @param outdated runners without the target version of the weights
+     * @param loading runners that are loading, either ordered by this VM or according to their own
+     *     reports, so that loads ordered by a previous holder of the claim count as well
+     * @param concurrentLoads maximum number of simultaneous loads
      */
     public static List<String> next(
             Collection<String> outdated, Collection<String> loading, int concurrentLoads) {
         List<String> next = new ArrayList<>();
         for (String runner : new TreeSet<>(outdated)) {
-            boolean room = loading.size() + next.size() < concurrentLoads;
-            if (room && !loading.contains(runner)) {
+            boolean hasCapacity = loading.size() + next.size() < concurrentLoads;
+            if (hasCapacity && !loading.contains(runner)) {
                 next.add(runner);
             }
         }
--- a/core/src/main/java/org/bronzelug/core/claim/package-info.java
+++ b/core/src/main/java/org/bronzelug/core/claim/package-info.java
@@ -1,2 +1,2 @@
-/** Claims that one VM at a time may use (DESIGN.md "Claims"). */
+/** Claims: exclusive ownership by one VM at a time (DESIGN.md "Claims"). */
 package org.bronzelug.core.claim;
--- a/core/src/test/java/org/bronzelug/core/claim/LoadPlanTest.java
+++ b/core/src/test/java/org/bronzelug/core/claim/LoadPlanTest.java
@@ -9,23 +9,28 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** At most so many loads of weights at once, those of a former holder included. */
+/**
+ * Checks that the number of simultaneous loads of weights stays limited, counting loads that a
+ * previous holder ordered.
+ */
 class LoadPlanTest {
     @Property(seed = "7801")
-    void neverMoreAtOnceThanAllowed(
+    void neverExceedsTheMaximumNumberOfLoads(
             @ForAll @Size(max = 10) List<@IntRange(max = 12) Integer> outdated,
             @ForAll @Size(max = 5) List<@IntRange(max = 12) Integer> loading,
-            @ForAll @IntRange(min = 1, max = 3) int most) {
-        List<String> busy = loading.stream().distinct().map(number -> "r" + number).toList();
-        List<String> old = outdated.stream().distinct().map(number -> "r" + number).toList();
-        List<String> next = LoadPlan.next(old, busy, most);
-        assertThat(next.size()).isAtMost(Math.max(0, most - busy.size()));
-        assertThat(next).containsNoneIn(busy);
-        assertThat(old).containsAtLeastElementsIn(next);
+            @ForAll @IntRange(min = 1, max = 3) int maximum) {
+        List<String> loadingRunners =
+                loading.stream().distinct().map(number -> "r" + number).toList();
+        List<String> outdatedRunners =
+                outdated.stream().distinct().map(number -> "r" + number).toList();
+        List<String> next = LoadPlan.next(outdatedRunners, loadingRunners, maximum);
+        assertThat(next.size()).isAtMost(Math.max(0, maximum - loadingRunners.size()));
+        assertThat(next).containsNoneIn(loadingRunners);
+        assertThat(outdatedRunners).containsAtLeastElementsIn(next);
     }
 
     @Test
-    void goesOnWhileRunnersAreOutdated() {
+    void ordersOutdatedRunnersUpToTheMaximum() {
         assertThat(LoadPlan.next(List.of("a", "b", "c"), List.of(), 2)).containsExactly("a", "b");
         assertThat(LoadPlan.next(List.of("b", "c"), List.of("b"), 2)).containsExactly("c");
     }
