--- a/core/src/main/java/org/bronzelug/core/order/RolloutPlan.java
+++ b/core/src/main/java/org/bronzelug/core/order/RolloutPlan.java
@@ -5,55 +5,56 @@
 import java.util.List;
 
 /**
- * Which runners load the newest weights next.
+ * Chooses the runners that load the newest weights next.
  *
- * <p>A runner under order takes no requests until those that it has are done and the weights are
- * loaded: a second where there is little to do, several where there is much. So the part that is
- * under order at once falls with the load: the failure this prevents is that half of the runners
- * wait for their last streams while the other half, with all requests, gets so slow that theirs
- * never end.
+ * <p>A runner with an order in progress takes no further requests until its current ones have ended
+ * and the weights are loaded: about a second under low load, several seconds under high load. So
+ * the fraction of runners with an order in progress decreases as the load grows. Without this, half
+ * of the runners would wait for their last streams while the other half, with all requests, would
+ * become so slow that their streams never end.
  *
- * <p>Those with the oldest weights go first: where versions follow each other faster than they are
- * loaded, another order would leave one runner behind for good. Of equal ones that with the least
- * under way goes first, since its requests finish soonest. Stateless and thread-safe.
+ * <p>Runners with the oldest weights come first: if versions are published faster than they can be
+ * loaded, any other order would leave some runner outdated for good. Among runners with equally old
+ * weights, the one with the fewest requests in flight comes first, since its requests end soonest.
+ * Stateless and thread-safe.
  */
 public final class RolloutPlan {
-    /** Requests a runner up to which streams go at nearly full speed. */
-    private static final double CALM_REQUESTS = 3;
+    /** Requests per runner up to which streams run at nearly full speed. */
+    private static final double LOW_LOAD_REQUESTS = 3;
 
-    /** Requests a runner up to which the others bear a third more. */
-    private static final double BUSY_REQUESTS = 7;
+    /** Requests per runner up to which the remaining runners can bear a third more. */
+    private static final double MEDIUM_LOAD_REQUESTS = 7;
 
-    private static final int CALM_PART = 2;
-    private static final int BUSY_PART = 3;
-    private static final int FULL_PART = 5;
+    private static final int LOW_LOAD_DIVISOR = 2;
+    private static final int MEDIUM_LOAD_DIVISOR = 3;
+    private static final int HIGH_LOAD_DIVISOR = 5;
 
     private RolloutPlan() {}
 
-    /** The runners to order now. */
+    /** Returns the runners to order now. */
     public static List<RolloutTarget> next(Collection<RolloutTarget> targets, long newest) {
-        long underWay = targets.stream().filter(RolloutTarget::ordered).count();
+        long inProgress = targets.stream().filter(RolloutTarget::orderInProgress).count();
         return targets.stream()
-                .filter(target -> !target.ordered() && target.version() < newest)
+                .filter(target -> !target.orderInProgress() && target.version() < newest)
                 .sorted(
                         Comparator.comparingLong(RolloutTarget::version)
                                 .thenComparingInt(RolloutTarget::requests)
                                 .thenComparing(RolloutTarget::endpoint))
-                .limit(Math.max(0, atOnce(targets) - underWay))
+                .limit(Math.max(0, maximumInProgress(targets) - inProgress))
                 .toList();
     }
 
-    /** How many may be under order at once; at least one. */
-    static long atOnce(Collection<RolloutTarget> targets) {
-        long answering = targets.stream().filter(RolloutTarget::answers).count();
+    /** Returns how many runners may have an order in progress at once; at least one. */
+    static long maximumInProgress(Collection<RolloutTarget> targets) {
+        long responding = targets.stream().filter(RolloutTarget::responds).count();
         int requests = targets.stream().mapToInt(RolloutTarget::requests).sum();
-        double perRunner = (double) requests / Math.max(1, answering);
-        int part = FULL_PART;
-        if (perRunner <= CALM_REQUESTS) {
-            part = CALM_PART;
-        } else if (perRunner <= BUSY_REQUESTS) {
-            part = BUSY_PART;
+        double perRunner = (double) requests / Math.max(1, responding);
+        int divisor = HIGH_LOAD_DIVISOR;
+        if (perRunner <= LOW_LOAD_REQUESTS) {
+            divisor = LOW_LOAD_DIVISOR;
+        } else if (perRunner <= MEDIUM_LOAD_REQUESTS) {
+            divisor = MEDIUM_LOAD_DIVISOR;
         }
-        return Math.max(1, answering / part);
+        return Math.max(1, responding / divisor);
     }
 }
--- a/core/src/main/java/org/bronzelug/core/order/RolloutTarget.java
+++ b/core/src/main/java/org/bronzelug/core/order/RolloutTarget.java
@@ -1,13 +1,13 @@
 package org.bronzelug.core.order;
 
 /**
- * A runner as the rollout of weights sees it. Immutable.
+ * A runner as seen by the rollout of weights. Immutable.
  *
- * @param endpoint its id
- * @param version of the weights that it has
- * @param requests under way there, of all VMs
- * @param answers whether it answers; one that does not serves nobody
- * @param ordered whether an order for it is under way
+ * @param endpoint id of the runner
+ * @param version of the weights that the runner has loaded
+ * @param requests in flight on the runner, from all VMs
+ * @param responds whether the runner responds; one that does not serves no requests
+ * @param orderInProgress whether an order for the runner is in progress
  */
 public record RolloutTarget(
-        String endpoint, long version, int requests, boolean answers, boolean ordered) {}
+        String endpoint, long version, int requests, boolean responds, boolean orderInProgress) {}
--- a/core/src/main/java/org/bronzelug/core/order/package-info.java
+++ b/core/src/main/java/org/bronzelug/core/order/package-info.java
@@ -1,2 +1,2 @@
-/** Who may order runners to load weights, and which runner is next. */
+/** Rollout of weights: which VM may order runners to load them, and which runners are next. */
 package org.bronzelug.core.order;
--- a/core/src/test/java/org/bronzelug/core/order/OrderLeaseTest.java
+++ b/core/src/test/java/org/bronzelug/core/order/OrderLeaseTest.java
@@ -14,9 +14,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Answers come from the wrong weights: two VMs order the same runner in turn, since the first one
- * was paused or cut off and the second took over. The runner checks no fence. Here the second one
- * begins only once the first can no longer send, and the lease time after that.
+ * Guards against responses from the wrong weights: a holder is suspended or cut off, a second VM
+ * acquires the lease, and the two order the same runner in turn. The runner checks no fencing
+ * token, so the second VM may begin only once the first can no longer send orders, plus the lease
+ * time.
  */
 class OrderLeaseTest {
     private static final long MILLI = 1_000_000L;
@@ -27,8 +28,8 @@
     void ordersOfTwoVmsAreAlwaysALeaseApart(@ForAll long seed) {
         Random random = new Random(seed);
         Optional<OrderLease> store = Optional.empty();
-        Map<Integer, OrderLease> seen = new HashMap<>();
-        Map<Integer, Long> renewed = new HashMap<>();
+        Map<Integer, OrderLease> seenLeases = new HashMap<>();
+        Map<Integer, Long> renewalSent = new HashMap<>();
         List<long[]> orders = new ArrayList<>();
         long revision = 1;
         for (long millis = 1; millis < 60_000; millis += 20) {
@@ -36,29 +37,30 @@
                 // Each VM is cut off from the store, and from runners, most of the time.
                 boolean cutOff = random.nextInt(10) < 6;
                 if (!cutOff && store.isPresent()) {
-                    OrderLease now = store.get();
-                    OrderLease known = seen.get(vm);
-                    if (known == null || known.revision() < now.revision()) {
-                        seen.put(vm, at(now, millis));
+                    OrderLease current = store.get();
+                    OrderLease lastSeen = seenLeases.get(vm);
+                    if (lastSeen == null || lastSeen.revision() < current.revision()) {
+                        seenLeases.put(vm, seenAt(current, millis));
                     }
                 }
                 boolean free =
                         OrderLease.isFree(
-                                Optional.ofNullable(seen.get(vm)),
+                                Optional.ofNullable(seenLeases.get(vm)),
                                 "vm-" + vm,
                                 LEASE_MILLIS,
                                 millis * MILLI);
-                boolean unchanged = revision(store) == revision(Optional.ofNullable(seen.get(vm)));
+                boolean unchanged =
+                        revision(store) == revision(Optional.ofNullable(seenLeases.get(vm)));
                 if (!cutOff && free && unchanged && random.nextInt(20) == 0) {
                     revision++;
                     store = Optional.of(lease(vm, revision, millis));
-                    seen.put(vm, store.get());
-                    renewed.put(vm, millis * MILLI);
+                    seenLeases.put(vm, store.get());
+                    renewalSent.put(vm, millis * MILLI);
                 }
-                boolean may =
-                        renewed.containsKey(vm)
-                                && OrderLease.mayOrder(renewed.get(vm), millis * MILLI);
-                if (may) {
+                boolean mayOrder =
+                        renewalSent.containsKey(vm)
+                                && OrderLease.mayOrder(renewalSent.get(vm), millis * MILLI);
+                if (mayOrder) {
                     orders.add(new long[] {millis, vm});
                 }
             }
@@ -74,7 +76,7 @@
         return new OrderLease("vm-" + vm, "first", revision, revision, millis * MILLI);
     }
 
-    private static OrderLease at(OrderLease lease, long millis) {
+    private static OrderLease seenAt(OrderLease lease, long millis) {
         return new OrderLease(
                 lease.holder(),
                 lease.incarnation(),
@@ -93,13 +95,13 @@
 
     @ParameterizedTest
     @CsvSource({"999, true", "1000, false"})
-    void aHolderStopsBeforeItsRenewalIsTooOld(long ageMillis, boolean expected) {
+    void holderStopsOrderingWhenItsRenewalExpires(long ageMillis, boolean expected) {
         assertThat(OrderLease.mayOrder(0, ageMillis * MILLI)).isEqualTo(expected);
     }
 
     @ParameterizedTest
     @CsvSource({"vm-0, 1, true", "vm-1, 4399, false", "vm-1, 4400, true"})
-    void theHolderGoesOnAtOnceAndOthersWait(String vm, long ageMillis, boolean expected) {
+    void holderReacquiresAtOnceAndOtherVmsWait(String vm, long ageMillis, boolean expected) {
         Optional<OrderLease> lease = Optional.of(lease(0, 7, 0));
         assertThat(OrderLease.isFree(lease, vm, LEASE_MILLIS, ageMillis * MILLI))
                 .isEqualTo(expected);
--- a/core/src/test/java/org/bronzelug/core/order/RolloutPlanTest.java
+++ b/core/src/test/java/org/bronzelug/core/order/RolloutPlanTest.java
@@ -9,17 +9,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Callers get answers of weights replaced long ago: versions follow each other faster than all
- * runners load them, the same few are ordered first each time, and one is never reached.
+ * Guards against responses from weights that were replaced long ago: versions are published faster
+ * than all runners load them, the same few runners are ordered first each time, and one runner is
+ * never ordered.
  */
 class RolloutPlanTest {
     private static final int RUNNERS = 8;
 
     @Test
-    void noRunnerFallsBehindForGoodWhileVersionsFollowFast() {
+    void noRunnerStaysOutdatedWhileVersionsFollowFast() {
         long[] versions = new long[RUNNERS];
         for (long newest = 1; newest <= 20; newest++) {
-            // Only half of the runners are reached before the next version is named.
+            // Only half of the runners are reached before the next version is published.
             for (RolloutTarget target : RolloutPlan.next(targets(versions), newest)) {
                 versions[Integer.parseInt(target.endpoint())] = newest;
             }
@@ -40,25 +41,26 @@
 
     @ParameterizedTest
     @CsvSource({"0, 4", "1, 3", "4, 0", "5, 0"})
-    void ordersUnderWayCount(int underWay, int expected) {
+    void ordersInProgressCountTowardsTheMaximum(int inProgress, int expected) {
         List<RolloutTarget> targets = new ArrayList<>();
         for (int runner = 0; runner < RUNNERS; runner++) {
-            targets.add(new RolloutTarget("r" + runner, 1, 0, true, runner < underWay));
+            targets.add(new RolloutTarget("r" + runner, 1, 0, true, runner < inProgress));
         }
         assertThat(RolloutPlan.next(targets, 2)).hasSize(expected);
     }
 
     /**
-     * Streams take ten seconds instead of one: half of the runners wait for their last streams, and
-     * the others get all requests, while two are without power.
+     * Streams take ten seconds instead of one: without the limit, half of the runners wait for
+     * their last streams and the others get all requests, while two runners are without power.
      */
     @ParameterizedTest
     @CsvSource({"2, 8, 4", "5, 8, 2", "12, 8, 1", "5, 6, 2", "12, 6, 1", "12, 0, 1"})
-    void fewerAreUnderOrderWhereMoreIsUnderWay(int requests, int answering, int expected) {
+    void fewerOrdersAreInProgressUnderHigherLoad(int requests, int responding, int expected) {
         List<RolloutTarget> targets = new ArrayList<>();
         for (int runner = 0; runner < RUNNERS; runner++) {
-            boolean answers = runner < answering;
-            targets.add(new RolloutTarget("r" + runner, 1, answers ? requests : 0, answers, false));
+            boolean responds = runner < responding;
+            targets.add(
+                    new RolloutTarget("r" + runner, 1, responds ? requests : 0, responds, false));
         }
         assertThat(RolloutPlan.next(targets, 2)).hasSize(expected);
     }
