--- a/core/src/main/java/org/bronzelug/core/action/ActionDecision.java
+++ b/core/src/main/java/org/bronzelug/core/action/ActionDecision.java
@@ -1,25 +1,32 @@
 package org.bronzelug.core.action;
 
-/** What the ledger says of one arriving call. Immutable. */
+/** The ledger's decision on one arrival of a call. Immutable. */
 public sealed interface ActionDecision {
-    /** Run it now; the ledger waits for {@link ActionLedger#finish}. */
+    /** Run the call now and report its outcome to {@link ActionLedger#finish}. */
     record Run() implements ActionDecision {}
 
     /** Another arrival of the same call is running: wait for its outcome. */
     record Await() implements ActionDecision {}
 
-    /** It ran before: answer as then. */
+    /**
+     * The call ran before: replay its response.
+     *
+     * @param answer the response of the endpoint to the call
+     */
     record Repeat(byte[] answer) implements ActionDecision {}
 
-    /** It may have run: say so, do not run it. */
+    /** The call may have run: report it as in doubt and do not run it. */
     record StayInDoubt(String reason) implements ActionDecision {}
 
-    /** It certainly did not run under this id, and will not: the caller takes a new id. */
+    /** The call certainly did not run under this id and will not run: the caller needs a new id. */
     record RejectNotRun(String reason) implements ActionDecision {}
 
-    /** The same id came with another team or body: refused, with no word of the first call. */
+    /**
+     * The id was first used with another team or body: reject the call without revealing anything
+     * about the first one.
+     */
     record RejectMismatch() implements ActionDecision {}
 
-    /** This VM is not the call's home. */
+    /** This VM does not own the id: forward the call to the owner. */
     record ForwardToOwner() implements ActionDecision {}
 }
--- a/core/src/main/java/org/bronzelug/core/action/ActionId.java
+++ b/core/src/main/java/org/bronzelug/core/action/ActionId.java
@@ -4,38 +4,41 @@
 import org.bronzelug.core.membership.MemberIdentity;
 
 /**
- * The id of one non-idempotent call: it names the one VM incarnation that may run it.
+ * The id of one non-idempotent call. It names the owner: the one VM incarnation that may run the
+ * call.
  *
- * <p>Text form {@code vm.incarnation.period.suffix}; the first three parts come from the VM that
- * was asked which VM to use, the suffix from the caller. Immutable.
+ * <p>Text form {@code vm.incarnation.period.suffix}. The first three parts are the prefix, which a
+ * VM issues to the caller that asks it which VM to use; the caller appends the suffix. Immutable.
  *
- * @param home the VM incarnation that alone may run the call
- * @param period number of the home's period in which the prefix was given out
- * @param suffix the caller's own part
+ * @param home the owner
+ * @param period number of the owner's period in which the prefix was issued
+ * @param suffix the part that the caller chose
  */
 public record ActionId(MemberIdentity home, long period, String suffix) {
-    /** Bound on the caller's part, so that the ledger's memory is bounded. */
-    public static final int MAXIMUM_SUFFIX = 64;
+    /** The maximum length of the suffix, so that the memory of the ledger is bounded. */
+    public static final int MAXIMUM_SUFFIX_LENGTH = 64;
 
     private static final int PARTS = 4;
 
-    /** Reads an id; empty where the text is not one. */
+    /** Parses an id; returns empty if the text is malformed. */
     public static Optional<ActionId> parse(String text) {
         String[] parts = text.split("\\.", PARTS);
-        if (parts.length != PARTS || parts[3].isEmpty() || parts[3].length() > MAXIMUM_SUFFIX) {
+        if (parts.length != PARTS
+                || parts[3].isEmpty()
+                || parts[3].length() > MAXIMUM_SUFFIX_LENGTH) {
             return Optional.empty();
         }
         try {
-            MemberIdentity home = new MemberIdentity(parts[0], parts[1]);
-            return Optional.of(new ActionId(home, Long.parseLong(parts[2]), parts[3]));
-        } catch (NumberFormatException notNumber) {
+            MemberIdentity owner = new MemberIdentity(parts[0], parts[1]);
+            return Optional.of(new ActionId(owner, Long.parseLong(parts[2]), parts[3]));
+        } catch (NumberFormatException notANumber) {
             return Optional.empty();
         }
     }
 
-    /** What a caller puts before its suffix. */
-    public static String prefix(MemberIdentity home, long period) {
-        return home.vm() + "." + home.incarnation() + "." + period + ".";
+    /** Returns the prefix to which a caller appends its suffix. */
+    public static String prefix(MemberIdentity owner, long period) {
+        return owner.vm() + "." + owner.incarnation() + "." + period + ".";
     }
 
     @Override
--- a/core/src/main/java/org/bronzelug/core/action/ActionLedger.java
+++ b/core/src/main/java/org/bronzelug/core/action/ActionLedger.java
@@ -11,34 +11,39 @@
 import org.bronzelug.core.membership.MemberIdentity;
 
 /**
- * At most once: this VM incarnation is the only one that ever runs the ids that name it.
+ * Ensures that a non-idempotent call runs at most once: only the owner that an id names, one VM
+ * incarnation, ever runs it.
  *
- * <p>The failure it guards against: a call's answer is lost, the caller retries through another VM,
- * and the voucher is refunded twice. The safeguard needs no clock, lease or store: an id names its
- * home's incarnation, the home remembers the id while it lives, and a new incarnation has new ids.
- * So neither a pause nor a partition nor a restart can make a second run; a home that is gone
- * leaves its calls in doubt, never run again. A graceful stop hands the records to one heir first.
+ * <p>Without this, a caller whose response was lost would retry through another VM, and a voucher
+ * would be refunded twice. The ledger prevents it without a clock, lease or storage: an id names
+ * the incarnation of its owner; the owner, while it runs, keeps a record of the id and so
+ * recognizes duplicates; and a new incarnation issues new ids. So neither a suspended VM nor a
+ * partition nor a restart causes a second run. The calls of a dead owner stay in doubt and are
+ * never run again. An owner that stops gracefully first transfers its records to one successor,
+ * which then owns its ids.
  *
- * <p>Memory is bounded by periods: the prefix says when it was given out. An id unknown here and
- * older than the retention may have been forgotten, so it is in doubt and not run.
+ * <p>Records are deleted with age, which bounds the memory; an id contains the period in which its
+ * prefix was issued. A call without a record here may have had one that was deleted, if its id is
+ * older than {@link #MAXIMUM_START_AGE_PERIODS}; such a call is in doubt and not run. Records are
+ * kept for twice as long.
  *
- * <p>Invariant: {@code begin} returns {@code Run} for an id only if no earlier {@code Run} of it
- * ended in anything but {@code NotRun}. Not thread-safe: guarded by its owner.
+ * <p>Invariant: {@code begin} returns {@code Run} for an id only if each earlier {@code Run} of the
+ * id has ended in {@code NotRun}. Not thread-safe: the caller synchronizes access.
  */
 public final class ActionLedger {
-    /** Length of a period. */
+    /** Length of a period, in nanoseconds. */
     public static final long PERIOD_NANOS = 60_000_000_000L;
 
-    /** An id of a period this much older than the present one is no longer begun. */
-    public static final long PERIODS_TO_BEGIN = 10;
+    /** Age of an id, in periods, beyond which a call without a record is no longer run. */
+    public static final long MAXIMUM_START_AGE_PERIODS = 10;
 
-    private static final long PERIODS_TO_KEEP = 2 * PERIODS_TO_BEGIN;
+    private static final long RETENTION_PERIODS = 2 * MAXIMUM_START_AGE_PERIODS;
 
     private final MemberIdentity self;
     private final long startNanos;
     private final Map<ActionId, ActionRecord> records = new HashMap<>();
-    private final Map<MemberIdentity, Inherited> inherited = new HashMap<>();
-    private final Set<MemberIdentity> receiving = new HashSet<>();
+    private final Map<MemberIdentity, TransferredOwner> transferredOwners = new HashMap<>();
+    private final Set<MemberIdentity> incompleteTransfers = new HashSet<>();
     private boolean closed;
     private long lastPurgedPeriod;
 
@@ -47,7 +52,7 @@
         this.startNanos = startNanos;
     }
 
-    /** The prefix for ids given out now. */
+    /** Returns the prefix for ids that are issued now. */
     public String prefix(long nowNanos) {
         return ActionId.prefix(self, period(nowNanos));
     }
@@ -55,17 +60,17 @@
     /** Decides on one arrival of a call. */
     public ActionDecision begin(ActionId id, String team, String bodyDigest, long nowNanos) {
         purge(nowNanos);
-        if (!answersFor(id.home())) {
+        if (!owns(id.home())) {
             return new ActionDecision.ForwardToOwner();
         }
         ActionRecord record = records.get(id);
         if (record != null) {
-            return decideKnown(record, team, bodyDigest);
+            return decideRecorded(record, team, bodyDigest);
         }
-        return decideUnknown(id, team, bodyDigest, nowNanos);
+        return decideUnrecorded(id, team, bodyDigest, nowNanos);
     }
 
-    private ActionDecision decideKnown(ActionRecord record, String team, String bodyDigest) {
+    private ActionDecision decideRecorded(ActionRecord record, String team, String bodyDigest) {
         if (!record.matches(team, bodyDigest)) {
             return new ActionDecision.RejectMismatch();
         }
@@ -75,11 +80,11 @@
         return switch (record.outcome().get()) {
             case ActionOutcome.Ran ran -> new ActionDecision.Repeat(ran.answer());
             case ActionOutcome.InDoubt doubt -> new ActionDecision.StayInDoubt(doubt.reason());
-            case ActionOutcome.NotRun notRun -> runAgain(record);
+            case ActionOutcome.NotRun notRun -> rerun(record);
         };
     }
 
-    private ActionDecision runAgain(ActionRecord record) {
+    private ActionDecision rerun(ActionRecord record) {
         if (closed) {
             return new ActionDecision.RejectNotRun("the VM that may run this id is stopping");
         }
@@ -90,12 +95,12 @@
         return new ActionDecision.Run();
     }
 
-    private ActionDecision decideUnknown(
+    private ActionDecision decideUnrecorded(
             ActionId id, String team, String bodyDigest, long nowNanos) {
-        if (receiving.contains(id.home())) {
+        if (incompleteTransfers.contains(id.home())) {
             return new ActionDecision.StayInDoubt("the records of the id's VM are not all here");
         }
-        if (tooOld(id, nowNanos)) {
+        if (isTooOld(id, nowNanos)) {
             return new ActionDecision.StayInDoubt("the id is older than the records kept");
         }
         if (closed) {
@@ -105,7 +110,10 @@
         return new ActionDecision.Run();
     }
 
-    /** Ends a run that {@link #begin} started; a second end of the same run changes nothing. */
+    /**
+     * Records the outcome of a run that {@link #begin} started; ignored if the run already has an
+     * outcome.
+     */
     public void finish(ActionId id, ActionOutcome outcome) {
         ActionRecord record = records.get(id);
         if (record == null || record.outcome().isPresent()) {
@@ -115,67 +123,75 @@
                 id, new ActionRecord(id, record.team(), record.bodyDigest(), Optional.of(outcome)));
     }
 
-    /** The outcome of a call, empty while it runs or where it is not known here. */
+    /** Returns the outcome of a call; empty while the call runs, or if it has no record here. */
     public Optional<ActionOutcome> outcome(ActionId id) {
         return Optional.ofNullable(records.get(id)).flatMap(ActionRecord::outcome);
     }
 
-    /** Begins no further call: the last step before the records are handed over. */
+    /** Stops starting calls; must precede the transfer of the records. */
     public void close() {
         closed = true;
     }
 
-    /** All records, for the heir; a call still running is handed over as in doubt. */
+    /**
+     * Returns all records, for transfer to the successor. A call that is still running is
+     * transferred as in doubt.
+     */
     public List<ActionRecord> recordsForSuccessor() {
         if (!closed) {
-            throw new IllegalStateException("close the ledger before handing it over");
+            throw new IllegalStateException(
+                    "the ledger must be closed before its records are transferred");
         }
-        List<ActionRecord> handedOver = new ArrayList<>();
+        List<ActionRecord> transferred = new ArrayList<>();
         for (ActionRecord record : records.values()) {
             Optional<ActionOutcome> outcome =
                     record.outcome()
                             .or(() -> Optional.of(new ActionOutcome.InDoubt("its VM stopped")));
-            handedOver.add(
+            transferred.add(
                     new ActionRecord(record.id(), record.team(), record.bodyDigest(), outcome));
         }
-        return handedOver;
+        return transferred;
     }
 
-    /** The incarnations whose ids this ledger answers for, its own first. */
+    /** Returns the incarnations whose ids this ledger owns, its own incarnation first. */
     public List<OwnershipPeriod> ownershipPeriods(long nowNanos) {
         List<OwnershipPeriod> ownershipPeriods = new ArrayList<>();
         ownershipPeriods.add(new OwnershipPeriod(self, period(nowNanos)));
-        for (MemberIdentity former : inherited.keySet()) {
-            ownershipPeriods.add(new OwnershipPeriod(former, periodOf(former, nowNanos)));
+        for (MemberIdentity previousOwner : transferredOwners.keySet()) {
+            ownershipPeriods.add(
+                    new OwnershipPeriod(previousOwner, periodOf(previousOwner, nowNanos)));
         }
         return ownershipPeriods;
     }
 
     /**
-     * Takes over records of a VM that has closed its ledger.
+     * Takes ownership of the ids of a VM that has closed its ledger.
      *
-     * @param from the incarnation that stops, and those that it had itself taken over, with their
-     *     periods: counted on, they tell which ids may have been forgotten before the hand-over
-     * @param taken its records, in one or more parts
-     * @param complete whether this is the last part; before it, unknown ids of all of {@code from}
-     *     stay in doubt, since a record still to come may say that they ran
+     * @param previousOwners the incarnation that stops and those whose ids it owned, with their
+     *     periods. Counting on from these periods tells which ids may have had a record that was
+     *     deleted before the transfer.
+     * @param transferred the records of that VM, in one or more parts
+     * @param complete whether this is the last part. Until then, calls without a record whose ids
+     *     belong to any of {@code previousOwners} are in doubt, since a record that is still to
+     *     come may show that they ran.
      */
     public void adopt(
-            Collection<OwnershipPeriod> from,
-            List<ActionRecord> taken,
+            Collection<OwnershipPeriod> previousOwners,
+            List<ActionRecord> transferred,
             boolean complete,
             long nowNanos) {
-        for (OwnershipPeriod former : from) {
-            Inherited entry = new Inherited(former.period(), period(nowNanos));
-            if (inherited.putIfAbsent(former.identity(), entry) == null) {
-                receiving.add(former.identity());
+        for (OwnershipPeriod previousOwner : previousOwners) {
+            TransferredOwner entry = new TransferredOwner(previousOwner.period(), period(nowNanos));
+            if (transferredOwners.putIfAbsent(previousOwner.identity(), entry) == null) {
+                incompleteTransfers.add(previousOwner.identity());
             }
         }
-        for (ActionRecord record : taken) {
+        for (ActionRecord record : transferred) {
             records.putIfAbsent(record.id(), record);
         }
         if (complete) {
-            from.forEach(former -> receiving.remove(former.identity()));
+            previousOwners.forEach(
+                    previousOwner -> incompleteTransfers.remove(previousOwner.identity()));
         }
     }
 
@@ -183,20 +199,23 @@
         return records.size();
     }
 
-    private boolean answersFor(MemberIdentity home) {
-        return home.equals(self) || inherited.containsKey(home);
+    private boolean owns(MemberIdentity owner) {
+        return owner.equals(self) || transferredOwners.containsKey(owner);
     }
 
-    private boolean tooOld(ActionId id, long nowNanos) {
-        return id.period() + PERIODS_TO_BEGIN < periodOf(id.home(), nowNanos);
+    private boolean isTooOld(ActionId id, long nowNanos) {
+        return id.period() + MAXIMUM_START_AGE_PERIODS < periodOf(id.home(), nowNanos);
     }
 
-    /** The present period of an incarnation; one taken over is counted on by this VM's clock. */
-    private long periodOf(MemberIdentity home, long nowNanos) {
-        Inherited entry = inherited.get(home);
+    /**
+     * Returns the current period of an incarnation. For a previous owner, it is counted on from the
+     * transfer by the clock of this VM.
+     */
+    private long periodOf(MemberIdentity owner, long nowNanos) {
+        TransferredOwner entry = transferredOwners.get(owner);
         return entry == null
                 ? period(nowNanos)
-                : entry.formerPeriod + period(nowNanos) - entry.sincePeriod;
+                : entry.periodAtTransfer + period(nowNanos) - entry.ownPeriodAtTransfer;
     }
 
     private long period(long nowNanos) {
@@ -204,26 +223,28 @@
     }
 
     private void purge(long nowNanos) {
-        long present = period(nowNanos);
-        if (present == lastPurgedPeriod) {
+        long currentPeriod = period(nowNanos);
+        if (currentPeriod == lastPurgedPeriod) {
             return;
         }
-        lastPurgedPeriod = present;
-        records.entrySet().removeIf(entry -> expired(entry.getValue(), nowNanos));
-        inherited.values().removeIf(entry -> entry.sincePeriod + PERIODS_TO_KEEP < present);
+        lastPurgedPeriod = currentPeriod;
+        records.entrySet().removeIf(entry -> isExpired(entry.getValue(), nowNanos));
+        transferredOwners
+                .values()
+                .removeIf(entry -> entry.ownPeriodAtTransfer + RETENTION_PERIODS < currentPeriod);
     }
 
-    private boolean expired(ActionRecord record, long nowNanos) {
+    private boolean isExpired(ActionRecord record, long nowNanos) {
         ActionId id = record.id();
         return record.outcome().isPresent()
-                && id.period() + PERIODS_TO_KEEP < periodOf(id.home(), nowNanos);
+                && id.period() + RETENTION_PERIODS < periodOf(id.home(), nowNanos);
     }
 
     /**
-     * An incarnation taken over.
+     * A previous owner whose ids this ledger owns now.
      *
-     * @param formerPeriod its period at the hand-over
-     * @param sincePeriod this ledger's own period then
+     * @param periodAtTransfer period of the previous owner at the transfer
+     * @param ownPeriodAtTransfer period of this ledger's own incarnation at that time
      */
-    private record Inherited(long formerPeriod, long sincePeriod) {}
+    private record TransferredOwner(long periodAtTransfer, long ownPeriodAtTransfer) {}
 }
--- a/core/src/main/java/org/bronzelug/core/action/ActionOutcome.java
+++ b/core/src/main/java/org/bronzelug/core/action/ActionOutcome.java
@@ -3,15 +3,15 @@
 /** How one run of a non-idempotent call ended. Immutable. */
 public sealed interface ActionOutcome {
     /**
-     * The endpoint ran the call and answered.
+     * The endpoint ran the call and responded.
      *
-     * @param answer the endpoint's answer, kept for retries
+     * @param answer the response of the endpoint, kept to be replayed to retries
      */
     record Ran(byte[] answer) implements ActionOutcome {}
 
     /**
-     * The call certainly had no effect: no byte of it left this VM, or the endpoint refused it
-     * definitively. It may be run again.
+     * The call certainly had no effect: no byte of it left this VM, or the endpoint definitively
+     * rejected it. It may be run again.
      */
     record NotRun(String reason) implements ActionOutcome {}
 
--- a/core/src/main/java/org/bronzelug/core/action/package-info.java
+++ b/core/src/main/java/org/bronzelug/core/action/package-info.java
@@ -1,2 +1,2 @@
-/** Non-idempotent calls run at most once (DESIGN.md "Actions"). */
+/** At-most-once execution of non-idempotent calls (DESIGN.md "Actions"). */
 package org.bronzelug.core.action;
--- a/core/src/test/java/org/bronzelug/core/action/ActionLedgerTest.java
+++ b/core/src/test/java/org/bronzelug/core/action/ActionLedgerTest.java
@@ -10,16 +10,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A non-idempotent call runs at most once, and "not run" is true.
+ * Checks that a non-idempotent call runs at most once, and that a call reported as not run did not
+ * run.
  *
- * <p>What the caller would see: a voucher refunded twice, or a refund refused as not run that took
- * place. The order: the call runs, its answer is lost, its VM crashes or hands over, and the caller
- * asks again through every VM. Why: whoever did not see the first run can't tell that there was
- * one.
+ * <p>Guards against a voucher that is refunded twice, or a refund that is reported as not run but
+ * took place. It comes about when the response to a call is lost, the VM crashes or transfers its
+ * records, and the caller retries through other VMs: a VM that did not see the first run cannot
+ * tell that there was one.
  */
 class ActionLedgerTest {
-    private final MemberIdentity home = new MemberIdentity("vm-1", "a");
-    private final ActionLedger ledger = new ActionLedger(home, 0);
+    private final MemberIdentity owner = new MemberIdentity("vm-1", "a");
+    private final ActionLedger ledger = new ActionLedger(owner, 0);
 
     @Property(seed = "7401")
     void runsAtMostOnceInAnySchedule(@ForAll long seed) {
@@ -27,16 +28,19 @@
         assertThat(model.run(400)).isEmpty();
     }
 
-    /** The model must also let calls be answered: refusing all would prove nothing. */
+    /**
+     * The model must also replay responses: a ledger that rejects every call would pass the other
+     * checks.
+     */
     @Property(seed = "7402")
-    void answersRetriesInMostSchedules(@ForAll long seed) {
+    void replaysResponsesInEachSchedule(@ForAll long seed) {
         ActionModel model = new ActionModel(seed);
         model.run(2_000);
-        assertThat(model.answered()).isAtLeast(20);
+        assertThat(model.replayed()).isAtLeast(20);
     }
 
     @Test
-    void aRetryGetsTheFirstAnswer() {
+    void retryGetsTheFirstResponse() {
         ActionId id = id("1");
         assertThat(begin(id)).isInstanceOf(ActionDecision.Run.class);
         assertThat(begin(id)).isInstanceOf(ActionDecision.Await.class);
@@ -47,7 +51,7 @@
     }
 
     @Test
-    void anIdIsBoundToItsTeamAndBody() {
+    void idIsBoundToItsTeamAndBody() {
         ActionId id = id("1");
         begin(id);
         assertThat(ledger.begin(id, "other", "body", 0))
@@ -57,8 +61,8 @@
     }
 
     @Test
-    void anIdOlderThanTheRecordsKeptStaysInDoubt() {
-        long old = (ActionLedger.PERIODS_TO_BEGIN + 1) * ActionLedger.PERIOD_NANOS;
+    void unrecordedIdOlderThanTheMaximumStartAgeStaysInDoubt() {
+        long old = (ActionLedger.MAXIMUM_START_AGE_PERIODS + 1) * ActionLedger.PERIOD_NANOS;
         assertThat(ledger.begin(id("1"), "team", "body", old))
                 .isInstanceOf(ActionDecision.StayInDoubt.class);
     }
@@ -72,71 +76,82 @@
                     .isInstanceOf(ActionDecision.Run.class);
             ledger.finish(id, new ActionOutcome.Ran(new byte[0]));
         }
-        assertThat(ledger.size()).isAtMost(2 * (int) ActionLedger.PERIODS_TO_BEGIN + 2);
+        assertThat(ledger.size()).isAtMost(2 * (int) ActionLedger.MAXIMUM_START_AGE_PERIODS + 2);
     }
 
     @Test
-    void anHeirAnswersAndMayRunWhatItsPredecessorNeverBegan() {
-        ActionId ran = id("1");
+    void successorReplaysAndRunsOnlyCallsThatNeverStarted() {
+        ActionId finished = id("1");
         ActionId running = id("2");
-        begin(ran);
-        ledger.finish(ran, new ActionOutcome.Ran(new byte[] {1}));
+        begin(finished);
+        ledger.finish(finished, new ActionOutcome.Ran(new byte[] {1}));
         begin(running);
         ledger.close();
-        ActionLedger heir = new ActionLedger(new MemberIdentity("vm-2", "b"), 0);
-        heir.adopt(ledger.ownershipPeriods(0), List.of(), false, 0);
-        assertThat(heir.begin(id("3"), "team", "body", 0))
+        ActionLedger successor = new ActionLedger(new MemberIdentity("vm-2", "b"), 0);
+        successor.adopt(ledger.ownershipPeriods(0), List.of(), false, 0);
+        assertThat(successor.begin(id("3"), "team", "body", 0))
                 .isInstanceOf(ActionDecision.StayInDoubt.class);
-        heir.adopt(ledger.ownershipPeriods(0), ledger.recordsForSuccessor(), true, 0);
-        assertThat(heir.begin(ran, "team", "body", 0)).isInstanceOf(ActionDecision.Repeat.class);
-        assertThat(heir.begin(running, "team", "body", 0))
+        successor.adopt(ledger.ownershipPeriods(0), ledger.recordsForSuccessor(), true, 0);
+        assertThat(successor.begin(finished, "team", "body", 0))
+                .isInstanceOf(ActionDecision.Repeat.class);
+        assertThat(successor.begin(running, "team", "body", 0))
                 .isInstanceOf(ActionDecision.StayInDoubt.class);
-        assertThat(heir.begin(id("3"), "team", "body", 0)).isInstanceOf(ActionDecision.Run.class);
+        assertThat(successor.begin(id("3"), "team", "body", 0))
+                .isInstanceOf(ActionDecision.Run.class);
     }
 
     /**
-     * Found by the model: an heir stops too, and hands on in parts. A call of the first VM comes
-     * between the parts, when its record is still to come, and was run a second time.
+     * A successor stops as well and transfers its records in parts. A call of the first VM that
+     * arrives between the parts, before its record, must not run a second time.
      */
     @Test
-    void anHeirOfAnHeirWaitsForTheRecordsOfBoth() {
-        ActionId ran = id("1");
-        begin(ran);
-        ledger.finish(ran, new ActionOutcome.Ran(new byte[] {1}));
+    void successorOfASuccessorKeepsCallsInDoubtUntilAllRecordsArrive() {
+        ActionId finished = id("1");
+        begin(finished);
+        ledger.finish(finished, new ActionOutcome.Ran(new byte[] {1}));
         ledger.close();
         MemberIdentity second = new MemberIdentity("vm-2", "b");
-        ActionLedger heir = new ActionLedger(second, 0);
-        heir.adopt(ledger.ownershipPeriods(0), ledger.recordsForSuccessor(), true, 0);
-        heir.close();
-        ActionLedger last = new ActionLedger(new MemberIdentity("vm-3", "c"), 0);
-        last.adopt(heir.ownershipPeriods(0), List.of(), false, 0);
-        assertThat(last.begin(ran, "team", "body", 0))
+        ActionLedger successor = new ActionLedger(second, 0);
+        successor.adopt(ledger.ownershipPeriods(0), ledger.recordsForSuccessor(), true, 0);
+        successor.close();
+        ActionLedger thirdLedger = new ActionLedger(new MemberIdentity("vm-3", "c"), 0);
+        thirdLedger.adopt(successor.ownershipPeriods(0), List.of(), false, 0);
+        assertThat(thirdLedger.begin(finished, "team", "body", 0))
                 .isInstanceOf(ActionDecision.StayInDoubt.class);
-        last.adopt(heir.ownershipPeriods(0), heir.recordsForSuccessor(), true, 0);
-        assertThat(last.begin(ran, "team", "body", 0)).isInstanceOf(ActionDecision.Repeat.class);
+        thirdLedger.adopt(successor.ownershipPeriods(0), successor.recordsForSuccessor(), true, 0);
+        assertThat(thirdLedger.begin(finished, "team", "body", 0))
+                .isInstanceOf(ActionDecision.Repeat.class);
     }
 
     /**
-     * Found by the model: a call runs, its record is forgotten with age, its VM stops, and the
-     * heir, which counted the age from the hand-over, ran the call a second time.
+     * A call runs, its record is deleted because of its age, and its VM stops. A successor that
+     * counted the age of the id from the transfer would run the call a second time.
      */
     @Test
-    void anHeirKnowsWhichIdsItsPredecessorMayHaveForgotten() {
-        ActionId ran = id("1");
-        begin(ran);
-        ledger.finish(ran, new ActionOutcome.Ran(new byte[] {1}));
-        long later = 30 * ActionLedger.PERIOD_NANOS;
-        ledger.begin(ActionId.parse(ledger.prefix(later) + "x").orElseThrow(), "t", "b", later);
+    void successorKeepsCallsWithDeletedRecordsInDoubt() {
+        ActionId finished = id("1");
+        begin(finished);
+        ledger.finish(finished, new ActionOutcome.Ran(new byte[] {1}));
+        long laterNanos = 30 * ActionLedger.PERIOD_NANOS;
+        ledger.begin(
+                ActionId.parse(ledger.prefix(laterNanos) + "x").orElseThrow(),
+                "t",
+                "b",
+                laterNanos);
         assertThat(ledger.size()).isEqualTo(1);
         ledger.close();
-        ActionLedger heir = new ActionLedger(new MemberIdentity("vm-2", "b"), later);
-        heir.adopt(ledger.ownershipPeriods(later), ledger.recordsForSuccessor(), true, later);
-        assertThat(heir.begin(ran, "team", "body", later))
+        ActionLedger successor = new ActionLedger(new MemberIdentity("vm-2", "b"), laterNanos);
+        successor.adopt(
+                ledger.ownershipPeriods(laterNanos),
+                ledger.recordsForSuccessor(),
+                true,
+                laterNanos);
+        assertThat(successor.begin(finished, "team", "body", laterNanos))
                 .isInstanceOf(ActionDecision.StayInDoubt.class);
     }
 
     @Test
-    void malformedIdsAreNoIds() {
+    void malformedIdsAreNotParsed() {
         assertThat(ActionId.parse("")).isEqualTo(Optional.empty());
         assertThat(ActionId.parse("vm.i.x.s")).isEqualTo(Optional.empty());
         assertThat(ActionId.parse("vm.i.1." + "s".repeat(65))).isEqualTo(Optional.empty());
--- a/core/src/test/java/org/bronzelug/core/action/ActionModel.java
+++ b/core/src/test/java/org/bronzelug/core/action/ActionModel.java
@@ -10,28 +10,30 @@
 import org.bronzelug.core.membership.MemberIdentity;
 
 /**
- * Calls that travel between VMs on a virtual clock; the endpoint counts what really ran.
+ * Models calls that travel between VMs on a virtual clock, with an endpoint that counts the runs
+ * that took effect.
  *
- * <p>Calls come doubled, late and through any VM; answers get lost; VMs crash at each step or stop
- * gracefully to an heir; a run may fail before or after its effect. Not thread-safe.
+ * <p>Calls arrive more than once, late and through any VM; responses are lost; VMs crash at any
+ * step or stop gracefully and transfer their records to a successor; a run may fail before or after
+ * its effect. Not thread-safe.
  */
 final class ActionModel {
     private static final String BODY = "body";
 
     private final Random random;
-    private final Map<MemberIdentity, ActionLedger> living = new HashMap<>();
-    private final Map<MemberIdentity, MemberIdentity> heirs = new HashMap<>();
+    private final Map<MemberIdentity, ActionLedger> runningLedgers = new HashMap<>();
+    private final Map<MemberIdentity, MemberIdentity> successors = new HashMap<>();
     private final Map<ActionId, Integer> runs = new HashMap<>();
-    private final Set<ActionId> saidNotRun = new HashSet<>();
-    private final Map<ActionId, byte[]> answers = new HashMap<>();
+    private final Set<ActionId> reportedNotRun = new HashSet<>();
+    private final Map<ActionId, byte[]> responses = new HashMap<>();
     private final List<PendingRun> pending = new ArrayList<>();
     private final List<ActionId> ids = new ArrayList<>();
     private final List<String> violations = new ArrayList<>();
     private long now;
     private int incarnations;
-    private int answered;
+    private int replayed;
 
-    /** A call that a VM has begun and that has not ended. */
+    /** A run that a VM has started and that has not ended. */
     private record PendingRun(MemberIdentity vm, ActionId id) {}
 
     ActionModel(long seed) {
@@ -49,8 +51,8 @@
         return violations;
     }
 
-    int answered() {
-        return answered;
+    int replayed() {
+        return replayed;
     }
 
     private void step() {
@@ -67,13 +69,13 @@
 
     private MemberIdentity start() {
         MemberIdentity identity = new MemberIdentity("vm", "i" + incarnations++);
-        living.put(identity, new ActionLedger(identity, now));
+        runningLedgers.put(identity, new ActionLedger(identity, now));
         return identity;
     }
 
     private MemberIdentity anyVm() {
-        List<MemberIdentity> vms = new ArrayList<>(living.keySet());
-        vms.sort((one, other) -> one.incarnation().compareTo(other.incarnation()));
+        List<MemberIdentity> vms = new ArrayList<>(runningLedgers.keySet());
+        vms.sort((first, second) -> first.incarnation().compareTo(second.incarnation()));
         return vms.get(random.nextInt(vms.size()));
     }
 
@@ -86,57 +88,59 @@
     }
 
     private void newCall() {
-        String prefix = living.get(anyVm()).prefix(now);
+        String prefix = runningLedgers.get(anyVm()).prefix(now);
         ActionId id = ActionId.parse(prefix + "s" + ids.size()).orElseThrow();
         ids.add(id);
         arrive(id, "team", BODY);
     }
 
-    /** The call arrives at any VM and is forwarded to its home or the home's heir. */
+    /**
+     * Lets the call arrive at any VM, which forwards it to its owner or to the owner's successor.
+     */
     private void arrive(ActionId id, String team, String body) {
         MemberIdentity at = anyVm();
-        ActionDecision decision = living.get(at).begin(id, team, body, now);
+        ActionDecision decision = runningLedgers.get(at).begin(id, team, body, now);
         if (decision instanceof ActionDecision.ForwardToOwner) {
-            MemberIdentity home = id.home();
-            while (!living.containsKey(home) && heirs.containsKey(home)) {
-                home = heirs.get(home);
+            MemberIdentity owner = id.home();
+            while (!runningLedgers.containsKey(owner) && successors.containsKey(owner)) {
+                owner = successors.get(owner);
             }
-            if (!living.containsKey(home)) {
+            if (!runningLedgers.containsKey(owner)) {
                 return;
             }
-            at = home;
-            decision = living.get(home).begin(id, team, body, now);
+            at = owner;
+            decision = runningLedgers.get(owner).begin(id, team, body, now);
         }
-        judge(at, id, team, body, decision);
+        checkDecision(at, id, team, body, decision);
     }
 
-    private void judge(
+    private void checkDecision(
             MemberIdentity at, ActionId id, String team, String body, ActionDecision decision) {
-        boolean genuine = team.equals("team") && body.equals(BODY);
+        boolean isOriginalCall = team.equals("team") && body.equals(BODY);
         switch (decision) {
             case ActionDecision.Run run -> {
-                if (!genuine && answers.containsKey(id)) {
+                if (!isOriginalCall && responses.containsKey(id)) {
                     violations.add("ran " + id + " for another team or body");
                 }
                 pending.add(new PendingRun(at, id));
             }
             case ActionDecision.Repeat repeat -> {
-                answered++;
-                if (!java.util.Arrays.equals(repeat.answer(), answers.get(id))) {
-                    violations.add("another call's answer for " + id);
+                replayed++;
+                if (!java.util.Arrays.equals(repeat.answer(), responses.get(id))) {
+                    violations.add("response of another call replayed for " + id);
                 }
             }
-            case ActionDecision.RejectNotRun refused -> sayNotRun(id);
+            case ActionDecision.RejectNotRun rejected -> reportNotRun(id);
             default -> {
-                // No claim is made that could be wrong.
+                // The decision makes no statement that could be wrong.
             }
         }
     }
 
-    private void sayNotRun(ActionId id) {
-        saidNotRun.add(id);
+    private void reportNotRun(ActionId id) {
+        reportedNotRun.add(id);
         if (runs.getOrDefault(id, 0) > 0) {
-            violations.add("said \"not run\" of " + id + ", which ran");
+            violations.add("reported \"not run\" for " + id + ", which ran");
         }
     }
 
@@ -145,56 +149,56 @@
             return;
         }
         PendingRun run = pending.remove(random.nextInt(pending.size()));
-        boolean effect = random.nextInt(4) != 0;
-        if (effect) {
+        boolean hadEffect = random.nextInt(4) != 0;
+        if (hadEffect) {
             int count = runs.merge(run.id, 1, Integer::sum);
-            answers.put(run.id, ("answer of " + run.id).getBytes());
+            responses.put(run.id, ("answer of " + run.id).getBytes());
             if (count > 1) {
                 violations.add(run.id + " ran twice");
             }
         }
-        ActionLedger ledger = living.get(run.vm);
+        ActionLedger ledger = runningLedgers.get(run.vm);
         if (ledger == null) {
             return;
         }
-        boolean answerLost = random.nextInt(4) == 0;
-        if (effect && !answerLost) {
-            ledger.finish(run.id, new ActionOutcome.Ran(answers.get(run.id)));
-        } else if (!effect && !answerLost) {
+        boolean responseLost = random.nextInt(4) == 0;
+        if (hadEffect && !responseLost) {
+            ledger.finish(run.id, new ActionOutcome.Ran(responses.get(run.id)));
+        } else if (!hadEffect && !responseLost) {
             ledger.finish(run.id, new ActionOutcome.NotRun("refused"));
         } else {
             ledger.finish(run.id, new ActionOutcome.InDoubt("no answer"));
         }
     }
 
-    /** The VM is gone in the middle of whatever it did; runs it sent out may still take effect. */
+    /** Crashes a VM at any point; runs that it has started may still take effect. */
     private void crash() {
-        living.remove(anyVm());
+        runningLedgers.remove(anyVm());
         start();
     }
 
     private void stopGracefully() {
         MemberIdentity from = anyVm();
-        ActionLedger ledger = living.get(from);
+        ActionLedger ledger = runningLedgers.get(from);
         ledger.close();
         List<ActionRecord> records = ledger.recordsForSuccessor();
-        MemberIdentity heir = anyVm();
-        if (heir.equals(from)) {
-            heir = start();
+        MemberIdentity successor = anyVm();
+        if (successor.equals(from)) {
+            successor = start();
         }
         int half = records.size() / 2;
-        ActionLedger taker = living.get(heir);
-        List<OwnershipPeriod> formers = ledger.ownershipPeriods(now);
-        for (OwnershipPeriod former : formers) {
-            heirs.put(former.identity(), heir);
+        ActionLedger successorLedger = runningLedgers.get(successor);
+        List<OwnershipPeriod> previousOwners = ledger.ownershipPeriods(now);
+        for (OwnershipPeriod previousOwner : previousOwners) {
+            successors.put(previousOwner.identity(), successor);
         }
-        taker.adopt(formers, records.subList(0, half), false, now);
-        living.remove(from);
+        successorLedger.adopt(previousOwners, records.subList(0, half), false, now);
+        runningLedgers.remove(from);
         if (!ids.isEmpty()) {
             arrive(anyId(), "team", BODY);
         }
-        taker.adopt(formers, records.subList(half, records.size()), true, now);
-        if (living.size() < 3) {
+        successorLedger.adopt(previousOwners, records.subList(half, records.size()), true, now);
+        if (runningLedgers.size() < 3) {
             start();
         }
     }
