--- a/core/src/main/java/org/bronzelug/core/drain/DrainGate.java
+++ b/core/src/main/java/org/bronzelug/core/drain/DrainGate.java
@@ -1,56 +1,62 @@
 package org.bronzelug.core.drain;
 
 /**
- * Counts the requests in progress, so that a graceful stop waits for the last one.
+ * Counts the requests in progress, so that a graceful stop can wait for the last one.
  *
- * <p>Invariant: after {@link #close}, {@link #enter} is refused, and {@link #isIdle} once true
- * stays so. The failure this guards against: a request that enters between the count and the stop
- * is cut; entering and closing are one lock, so it is either counted or refused as not run.
+ * <p>Invariant: after {@link #close}, {@link #enter} returns false, and once {@link #isIdle} has
+ * returned true it always does. Entering and closing use one lock, so a request is either counted
+ * or rejected as not run. Without this, a request that enters between the count and the stop would
+ * be cut off.
  *
  * <p>Thread-safe.
  */
 public final class DrainGate {
-    private int open;
+    private int inProgress;
     private boolean closed;
 
-    /** Lets a request in; false once the VM is stopping. */
+    /** Admits a request; returns false once the VM is stopping. */
     public synchronized boolean enter() {
         if (closed) {
             return false;
         }
-        open++;
+        inProgress++;
         return true;
     }
 
-    /** Must follow each successful {@link #enter} once. */
+    /** Ends a request; must follow each successful {@link #enter} exactly once. */
     public synchronized void leave() {
-        open--;
+        inProgress--;
         notifyAll();
     }
 
-    /** Lets no further request in. */
+    /** Admits no further request. */
     public synchronized void close() {
         closed = true;
         notifyAll();
     }
 
     public synchronized boolean isIdle() {
-        return closed && open == 0;
+        return closed && inProgress == 0;
     }
 
     public synchronized int open() {
-        return open;
+        return inProgress;
     }
 
-    /** Waits until the last request has left, at most so long; whether it has. */
+    /**
+     * Waits until the last request has ended.
+     *
+     * @param nanos maximum time to wait
+     * @return whether the last request has ended
+     */
     public synchronized boolean awaitIdle(long nanos) throws InterruptedException {
-        long end = System.nanoTime() + nanos;
+        long deadline = System.nanoTime() + nanos;
         while (!isIdle()) {
-            long left = end - System.nanoTime();
-            if (left <= 0) {
+            long remaining = deadline - System.nanoTime();
+            if (remaining <= 0) {
                 return false;
             }
-            wait(Math.max(1, left / 1_000_000));
+            wait(Math.max(1, remaining / 1_000_000));
         }
         return true;
     }
--- a/core/src/main/java/org/bronzelug/core/drain/package-info.java
+++ b/core/src/main/java/org/bronzelug/core/drain/package-info.java
@@ -1,2 +1,2 @@
-/** The graceful stop (DESIGN.md "Graceful stop"). */
+/** Graceful stop of a VM (DESIGN.md "Graceful stop"). */
 package org.bronzelug.core.drain;
--- a/core/src/test/java/org/bronzelug/core/drain/DrainGateTest.java
+++ b/core/src/test/java/org/bronzelug/core/drain/DrainGateTest.java
@@ -6,21 +6,24 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Once a closed gate is idle it stays so: no request enters after the last one was counted. */
+/**
+ * Checks that a closed gate that is idle stays idle: no request enters after the last one was
+ * counted.
+ */
 class DrainGateTest {
     @Property(seed = "7901")
-    void idleIsForGood(@ForAll long seed) {
+    void closedGateThatIsIdleStaysIdle(@ForAll long seed) {
         Random random = new Random(seed);
         DrainGate gate = new DrainGate();
-        int open = 0;
+        int inProgress = 0;
         boolean wasIdle = false;
         for (int step = 0; step < 100; step++) {
             switch (random.nextInt(5)) {
-                case 0, 1 -> open += gate.enter() ? 1 : 0;
+                case 0, 1 -> inProgress += gate.enter() ? 1 : 0;
                 case 2, 3 -> {
-                    if (open > 0) {
+                    if (inProgress > 0) {
                         gate.leave();
-                        open--;
+                        inProgress--;
                     }
                 }
                 default -> {
@@ -29,7 +32,7 @@
                     }
                 }
             }
-            assertThat(gate.open()).isEqualTo(open);
+            assertThat(gate.open()).isEqualTo(inProgress);
             assertThat(!wasIdle || gate.isIdle()).isTrue();
             wasIdle = gate.isIdle();
         }
