--- a/core/src/main/java/org/bronzelug/core/key/KeyDigest.java
+++ b/core/src/main/java/org/bronzelug/core/key/KeyDigest.java
@@ -7,22 +7,23 @@
 import java.util.HexFormat;
 
 /**
- * The SHA-256 of a team's key: all that is ever kept of a key.
+ * The SHA-256 digest of a team's key. Only the digest of a key is stored, never the key itself.
  *
- * <p>A key has 256 random bits, so its plain hash can't be guessed back. Immutable.
+ * <p>A key has 256 random bits, so it cannot be guessed from its unsalted hash. Immutable.
  */
 public record KeyDigest(String hex) {
     private static final String KEY_PREFIX = "blk_";
     private static final int KEY_BYTES = 32;
 
-    /** The digest of a key as a caller presents it. */
+    /** Computes the digest of a key as a caller presents it. */
     public static KeyDigest of(String key) {
         try {
             MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
             byte[] digest = sha256.digest(key.getBytes(StandardCharsets.UTF_8));
             return new KeyDigest(HexFormat.of().formatHex(digest));
-        } catch (NoSuchAlgorithmException missing) {
-            throw new IllegalStateException("every Java platform has SHA-256", missing);
+        } catch (NoSuchAlgorithmException unavailable) {
+            throw new IllegalStateException(
+                    "SHA-256 is not available; every Java platform must provide it", unavailable);
         }
     }
 
@@ -34,7 +35,7 @@
         return HexFormat.of().parseHex(hex);
     }
 
-    /** Draws a new key. */
+    /** Generates a new random key. */
     public static String newKey(SecureRandom random) {
         byte[] bytes = new byte[KEY_BYTES];
         random.nextBytes(bytes);
--- a/core/src/main/java/org/bronzelug/core/key/package-info.java
+++ b/core/src/main/java/org/bronzelug/core/key/package-info.java
@@ -1,2 +1,2 @@
-/** Teams' keys, of which only a digest is kept (DESIGN.md "Keys"). */
+/** Teams' keys, of which only a digest is stored (DESIGN.md "Keys"). */
 package org.bronzelug.core.key;
