--- a/core/src/main/java/org/bronzelug/core/configuration/ConfigurationState.java
+++ b/core/src/main/java/org/bronzelug/core/configuration/ConfigurationState.java
@@ -7,14 +7,14 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * All configuration objects that one VM knows, at the newest version it has met.
+ * All configuration objects that a VM holds, each in the newest version that the VM has received.
  *
- * <p>Invariant: the version of a key never falls. The failure this guards against: a peer or a
- * lagging read offers an older object after a newer one was in force (a restart in an outage, a
- * delayed message), and a withdrawn key works again. Refusing every lower version here is enough,
- * since all objects enter through {@link #with}.
+ * <p>Invariant: the version of a key never decreases. All objects enter through {@link #with},
+ * which ignores any version that is not newer. Without this, a peer or a delayed platform read
+ * could offer an older object after a newer one was in force (after a restart during an outage, or
+ * through a delayed message), and a withdrawn key would work again.
  *
- * <p>Immutable, so any thread may read it; the control thread replaces it as a whole.
+ * <p>Immutable, so any thread may read it; the control thread replaces the instance as a whole.
  */
 public final class ConfigurationState {
     private static final LongHashFunction HASH = LongHashFunction.xx3();
@@ -32,49 +32,54 @@
         return EMPTY;
     }
 
-    /** Returns this state with those of the objects that are newer than what it holds. */
+    /**
+     * Returns this state with those of the offered objects that are newer than the ones it holds.
+     */
     public ConfigurationState with(Collection<VersionedObject> offered) {
-        TreeMap<String, VersionedObject> next = new TreeMap<>(objects);
-        long nextDigest = digest;
+        TreeMap<String, VersionedObject> updated = new TreeMap<>(objects);
+        long updatedDigest = digest;
         for (VersionedObject object : offered) {
-            VersionedObject held = next.get(object.key());
-            if (held != null && held.version() >= object.version()) {
+            VersionedObject current = updated.get(object.key());
+            if (current != null && current.version() >= object.version()) {
                 continue;
             }
-            if (held != null) {
-                nextDigest ^= digestOf(held);
+            if (current != null) {
+                updatedDigest ^= digestOf(current);
             }
-            next.put(object.key(), object);
-            nextDigest ^= digestOf(object);
+            updated.put(object.key(), object);
+            updatedDigest ^= digestOf(object);
         }
-        return nextDigest == digest ? this : new ConfigurationState(next, nextDigest);
+        return updatedDigest == digest ? this : new ConfigurationState(updated, updatedDigest);
     }
 
     public Optional<VersionedObject> object(String key) {
         return Optional.ofNullable(objects.get(key));
     }
 
-    /** The version held of a key; 0 where the key is not known. */
+    /** Returns the version of the key that this state holds; 0 if it does not hold the key. */
     public long version(String key) {
-        VersionedObject held = objects.get(key);
-        return held == null ? 0 : held.version();
+        VersionedObject current = objects.get(key);
+        return current == null ? 0 : current.version();
     }
 
     public Collection<VersionedObject> objects() {
         return objects.values();
     }
 
-    /** The objects whose key starts so, in the order of their keys. */
+    /** Returns the objects whose keys start with the prefix, ordered by key. */
     public Collection<VersionedObject> objectsUnder(String prefix) {
         return objects.subMap(prefix, prefix + Character.MAX_VALUE).values();
     }
 
-    /** Equal for states of equal versions; 64 bits, so unequal states collide by accident only. */
+    /**
+     * Returns a 64-bit hash of the keys and versions. States with equal versions have equal
+     * digests; other states have equal digests only through a hash collision.
+     */
     public long digest() {
         return digest;
     }
 
-    /** Whether this state knows each key at the version given or a newer one. */
+    /** Returns whether this state holds each key in the given version or a newer one. */
     public boolean covers(Map<String, Long> versions) {
         return versions.entrySet().stream()
                 .allMatch(entry -> version(entry.getKey()) >= entry.getValue());
--- a/core/src/main/java/org/bronzelug/core/configuration/VersionedObject.java
+++ b/core/src/main/java/org/bronzelug/core/configuration/VersionedObject.java
@@ -4,11 +4,11 @@
 import java.util.Objects;
 
 /**
- * One object of the platform's object API, as committed there: DESIGN.md section "Configuration".
+ * One object of the platform's object API, as committed there (DESIGN.md "Configuration").
  *
  * <p>Invariant: two objects with the same key and version have the same value, since the platform
- * gives every committed value a version of its own. Immutable; the value is copied on the way in
- * and must not be changed by readers.
+ * assigns a new version to each committed value. Immutable: the value is copied on construction and
+ * on each access.
  */
 public final class VersionedObject {
     private final String key;
@@ -25,7 +25,10 @@
         return key;
     }
 
-    /** The platform's version: 1 or more, higher for each committed value of the key. */
+    /**
+     * Returns the version that the platform assigned: 1 or more, and higher for each newly
+     * committed value of the key.
+     */
     public long version() {
         return version;
     }
--- a/core/src/main/java/org/bronzelug/core/configuration/package-info.java
+++ b/core/src/main/java/org/bronzelug/core/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** The configuration as versioned objects which never go back (DESIGN.md "Configuration"). */
+/** The configuration: objects whose versions never decrease (DESIGN.md "Configuration"). */
 package org.bronzelug.core.configuration;
--- a/core/src/test/java/org/bronzelug/core/configuration/ConfigurationStateTest.java
+++ b/core/src/test/java/org/bronzelug/core/configuration/ConfigurationStateTest.java
@@ -14,14 +14,14 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * A configuration in force never reverts.
+ * Checks that a configuration in force never reverts to an older one.
  *
- * <p>What the operator would see: a withdrawn key works again. The order: the new object is in
- * force, then a peer or a lagging read offers the old one. Why: messages come late and doubled.
+ * <p>Guards against a withdrawn key that works again: after the new object is in force, a peer or a
+ * delayed platform read offers the old one, since messages can be delayed and duplicated.
  */
 class ConfigurationStateTest {
     @Property(seed = "7201")
-    void versionsNeverFallInWhateverOrderObjectsCome(
+    void versionsNeverDecreaseInAnyOrderOfArrival(
             @ForAll @Size(min = 1, max = 40) List<@IntRange(min = 0, max = 30) Integer> offers) {
         ConfigurationState state = ConfigurationState.empty();
         Map<String, Long> highest = new HashMap<>();
@@ -37,19 +37,20 @@
     }
 
     @Property(seed = "7202")
-    void equalContentsHaveEqualDigestsWhateverTheOrder(
+    void equalContentsHaveEqualDigestsInAnyOrderOfArrival(
             @ForAll @Size(min = 1, max = 20) List<@IntRange(min = 0, max = 30) Integer> offers,
             @ForAll long seed) {
         List<Integer> shuffled = new ArrayList<>(offers);
         Collections.shuffle(shuffled, new Random(seed));
-        ConfigurationState one = ConfigurationState.empty().with(objects(offers));
-        ConfigurationState other = ConfigurationState.empty();
+        ConfigurationState inOrder = ConfigurationState.empty().with(objects(offers));
+        ConfigurationState inShuffledOrder = ConfigurationState.empty();
         for (int offer : shuffled) {
-            other = other.with(List.of(object(offer)));
+            inShuffledOrder = inShuffledOrder.with(List.of(object(offer)));
         }
-        assertThat(one.digest()).isEqualTo(other.digest());
-        ConfigurationState newer = one.with(List.of(new VersionedObject("k9", 99, new byte[0])));
-        assertThat(newer.digest()).isNotEqualTo(one.digest());
+        assertThat(inOrder.digest()).isEqualTo(inShuffledOrder.digest());
+        ConfigurationState newer =
+                inOrder.with(List.of(new VersionedObject("k9", 99, new byte[0])));
+        assertThat(newer.digest()).isNotEqualTo(inOrder.digest());
     }
 
     private static List<VersionedObject> objects(List<Integer> offers) {
