--- a/core/src/main/java/org/bronzelug/core/package-info.java
+++ b/core/src/main/java/org/bronzelug/core/package-info.java
@@ -1,2 +1,5 @@
-/** Decisions without I/O or threads; the time is passed in, so tests run on a virtual clock. */
+/**
+ * Decision logic without I/O or threads. Time is passed as a parameter, so tests run on a virtual
+ * clock.
+ */
 package org.bronzelug.core;
--- a/core/src/main/java/org/bronzelug/core/stream/StreamGapException.java
+++ b/core/src/main/java/org/bronzelug/core/stream/StreamGapException.java
@@ -1,15 +1,15 @@
 package org.bronzelug.core.stream;
 
-/** A runner left out a chunk. */
+/** Thrown if a runner has omitted a chunk of a stream. */
 public final class StreamGapException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public StreamGapException(int expected, int met) {
+    public StreamGapException(int expected, int received) {
         super(
                 "expected chunk "
                         + expected
                         + " but the runner sent "
-                        + met
-                        + "; the stream goes on with another attempt");
+                        + received
+                        + "; the stream continues with another attempt");
     }
 }
--- a/core/src/main/java/org/bronzelug/core/stream/StreamProgress.java
+++ b/core/src/main/java/org/bronzelug/core/stream/StreamProgress.java
@@ -5,44 +5,45 @@
 /**
  * The progress of one caller's stream over several attempts on runners.
  *
- * <p>Invariant: the accepted chunks are numbered from the start offset up, with no gap and none
- * twice. The failures this guards against: a runner freezes, the stream is moved, and the first
- * runner wakes and sends on (a doubled chunk, or one of another request); a chunk is lost with its
- * connection (a gap). Each attempt has a number; a chunk of any attempt but the present one is
- * dropped, and the next attempt starts at the first chunk not accepted.
+ * <p>Invariant: the accepted chunks are numbered from the start offset upwards, without gaps or
+ * duplicates. Each attempt has a number; chunks of any attempt but the current one are dropped, and
+ * the next attempt starts at the first chunk that was not accepted. Without this, when a runner
+ * freezes, its stream is moved and the runner resumes sending, the caller would receive a chunk
+ * twice, or one of another request; and a chunk that is lost with its connection would leave a gap.
  *
- * <p>Thread-safe: an attempt's reader and the one that moves the stream may race.
+ * <p>Thread-safe: the thread that reads an attempt and the thread that moves the stream may race.
  */
 public final class StreamProgress {
-    private int attempt;
+    private int currentAttempt;
     private int nextOffset;
     private final StringBuilder text;
     private boolean finished;
 
     /**
-     * @param startOffset chunks that the caller already has
-     * @param textSoFar their text
+     * @param startOffset number of chunks that the caller already has
+     * @param textSoFar the text of these chunks
      */
     public StreamProgress(int startOffset, String textSoFar) {
         this.nextOffset = startOffset;
         this.text = new StringBuilder(textSoFar);
     }
 
-    /** Starts the next attempt; chunks of earlier ones are dropped from now on. */
+    /** Starts the next attempt; from now on, chunks of earlier attempts are dropped. */
     public synchronized Attempt startAttempt() {
-        attempt++;
-        return new Attempt(attempt, nextOffset, text.toString());
+        currentAttempt++;
+        return new Attempt(currentAttempt, nextOffset, text.toString());
     }
 
     /**
      * Offers a chunk.
      *
-     * @return whether it is the stream's next one; it then must be sent to the caller
-     * @throws StreamGapException where the runner left a chunk out: the attempt is of no use
+     * @return whether the chunk is the next one of the stream and so must be sent to the caller
+     * @throws StreamGapException if the runner omitted a chunk, so that the attempt must be
+     *     abandoned
      */
-    public synchronized boolean accept(int ofAttempt, int offset, String chunk)
+    public synchronized boolean accept(int attemptNumber, int offset, String chunk)
             throws StreamGapException {
-        if (ofAttempt != attempt || finished || offset < nextOffset) {
+        if (attemptNumber != currentAttempt || finished || offset < nextOffset) {
             return false;
         }
         if (offset > nextOffset) {
@@ -53,9 +54,13 @@
         return true;
     }
 
-    /** Ends the stream, if the attempt is the present one. */
-    public synchronized boolean finish(int ofAttempt) {
-        if (ofAttempt != attempt || finished) {
+    /**
+     * Ends the stream if the attempt is the current one.
+     *
+     * @return whether this call has ended the stream
+     */
+    public synchronized boolean finish(int attemptNumber) {
+        if (attemptNumber != currentAttempt || finished) {
             return false;
         }
         finished = true;
@@ -67,10 +72,10 @@
     }
 
     public synchronized int attempts() {
-        return attempt;
+        return currentAttempt;
     }
 
-    /** The text accepted so far, if any. */
+    /** Returns the text of the accepted chunks; empty if there is none. */
     public synchronized Optional<String> textSoFar() {
         return text.isEmpty() ? Optional.empty() : Optional.of(text.toString());
     }
@@ -78,9 +83,9 @@
     /**
      * One attempt to generate the rest of a stream.
      *
-     * @param number of the attempt, from 1
-     * @param startOffset its first chunk
-     * @param textSoFar what was generated before
+     * @param number of the attempt, starting at 1
+     * @param startOffset number of the first chunk to generate
+     * @param textSoFar the text of all chunks before it
      */
     public record Attempt(int number, int startOffset, String textSoFar) {}
 }
--- a/core/src/main/java/org/bronzelug/core/stream/package-info.java
+++ b/core/src/main/java/org/bronzelug/core/stream/package-info.java
@@ -1,2 +1,2 @@
-/** Streams that stay whole and in order (DESIGN.md "Streams"). */
+/** Streams of chunks, complete and in order over several attempts (DESIGN.md "Streams"). */
 package org.bronzelug.core.stream;
--- a/core/src/test/java/org/bronzelug/core/stream/StreamProgressTest.java
+++ b/core/src/test/java/org/bronzelug/core/stream/StreamProgressTest.java
@@ -11,29 +11,29 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A stream arrives whole and in order over several attempts.
+ * Checks that a stream arrives complete and in order over several attempts.
  *
- * <p>What the caller would see: a doubled or missing word. The order: a runner freezes after some
- * chunks, the stream moves, the first runner wakes and sends on. Why: both send chunks of the same
- * numbers, and only one of them may be heard.
+ * <p>Guards against a duplicated or missing word: a runner freezes after some chunks, the stream
+ * moves to another runner, and the first runner resumes sending. Both send chunks with the same
+ * numbers, of which only one may be accepted.
  */
 class StreamProgressTest {
     private static final int CHUNKS = 30;
 
     @Property(seed = "7501")
-    void everyChunkOnceAndInOrder(@ForAll long seed) throws StreamGapException {
+    void deliversEachChunkOnceAndInOrder(@ForAll long seed) throws StreamGapException {
         Random random = new Random(seed);
         StreamProgress progress = new StreamProgress(0, "");
         List<StreamProgress.Attempt> attempts = new ArrayList<>();
         List<Integer> next = new ArrayList<>();
         List<Integer> delivered = new ArrayList<>();
         while (progress.nextOffset() < CHUNKS) {
-            boolean move = attempts.isEmpty() || random.nextInt(10) == 0;
-            if (move) {
+            boolean startsAttempt = attempts.isEmpty() || random.nextInt(10) == 0;
+            if (startsAttempt) {
                 attempts.add(progress.startAttempt());
                 next.add(attempts.get(attempts.size() - 1).startOffset());
             }
-            // Any attempt, also one long given up, sends its next chunk.
+            // Any attempt, even one abandoned long ago, sends its next chunk.
             int index = random.nextInt(attempts.size());
             int offset = next.get(index);
             next.set(index, offset + 1);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aRunnerThatLeavesAChunkOutIsNoticed() throws StreamGapException {
+    void omittedChunkEndsTheAttemptWithAnException() throws StreamGapException {
         StreamProgress progress = new StreamProgress(0, "");
         StreamProgress.Attempt attempt = progress.startAttempt();
         progress.accept(attempt.number(), 0, "a");
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aResumedStreamStartsWhereTheCallerIs() throws StreamGapException {
+    void resumedStreamStartsAfterTheChunksThatTheCallerHas() throws StreamGapException {
         StreamProgress progress = new StreamProgress(5, "abcde");
         StreamProgress.Attempt attempt = progress.startAttempt();
         assertThat(attempt.startOffset()).isEqualTo(5);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void anEndOfAnEarlierAttemptEndsNothing() {
+    void endOfAnEarlierAttemptDoesNotEndTheStream() {
         StreamProgress progress = new StreamProgress(0, "");
         StreamProgress.Attempt first = progress.startAttempt();
         StreamProgress.Attempt second = progress.startAttempt();
