--- a/core/src/main/java/org/bronzelug/core/action/ActionId.java
+++ b/core/src/main/java/org/bronzelug/core/action/ActionId.java
@@ -7,8 +7,9 @@
  * The id of one non-idempotent call. It names the owner: the one VM incarnation that may run the
  * call.
  *
- * <p>Text form {@code vm.incarnation.period.suffix}. The first three parts are the prefix, which a
- * VM issues to the caller that asks it which VM to use; the caller appends the suffix. Immutable.
+ * <p>Text form {@code vm.incarnation.period.suffix}. The first three parts are the prefix: a VM
+ * issues it, with itself as the owner, when a caller asks which VM to use. The caller appends the
+ * suffix. Immutable.
  *
  * @param home the owner
  * @param period number of the owner's period in which the prefix was issued
--- a/core/src/main/java/org/bronzelug/core/action/ActionLedger.java
+++ b/core/src/main/java/org/bronzelug/core/action/ActionLedger.java
@@ -168,8 +168,8 @@
      * Takes ownership of the ids of a VM that has closed its ledger.
      *
      * @param previousOwners the incarnation that stops and those whose ids it owned, with their
-     *     periods. Counting on from these periods tells which ids may have had a record that was
-     *     deleted before the transfer.
+     *     periods at the transfer. Counting continues from these, so that this ledger can tell
+     *     which ids may have had a record that was deleted before the transfer.
      * @param transferred the records of that VM, in one or more parts
      * @param complete whether this is the last part. Until then, calls without a record whose ids
      *     belong to any of {@code previousOwners} are in doubt, since a record that is still to
@@ -208,8 +208,8 @@
     }
 
     /**
-     * Returns the current period of an incarnation. For a previous owner, it is counted on from the
-     * transfer by the clock of this VM.
+     * Returns the current period of an incarnation. For a previous owner, counting continues from
+     * the transfer by the clock of this VM.
      */
     private long periodOf(MemberIdentity owner, long nowNanos) {
         TransferredOwner entry = transferredOwners.get(owner);
--- a/core/src/main/java/org/bronzelug/core/claim/ExclusiveClaim.java
+++ b/core/src/main/java/org/bronzelug/core/claim/ExclusiveClaim.java
@@ -13,9 +13,9 @@
  * fencing token. Invariant: no two VMs use the claim at the same time. A holder uses it only while
  * its configuration is within the staleness bound (see {@link
  * org.bronzelug.core.membership.Freshness}). So it stops within that bound after the acquisition by
- * the next holder is in force. The next holder waits for the staleness bound, counted on its own
- * monotonic clock from the moment when a majority has confirmed the acquisition. No clocks of two
- * VMs are compared.
+ * the next holder is in force. The next holder waits for that bound, and slightly longer because
+ * clocks drift, counted on its own monotonic clock from the moment when a majority has confirmed
+ * the acquisition. No clocks of two VMs are compared.
  *
  * <p>Without the wait, a holder that is suspended or cut off could resume after another VM has
  * acquired the claim, and both would use it. The symptom is a team that is admitted at twice its
--- a/core/src/main/java/org/bronzelug/core/membership/Freshness.java
+++ b/core/src/main/java/org/bronzelug/core/membership/Freshness.java
@@ -126,7 +126,7 @@
 
     private void recordMember(
             MemberIdentity identity,
-            long receivedNanos,
+            long lastSeenNanos,
             OptionalLong syncedAsOf,
             boolean draining) {
         if (identity.vm().equals(self.vm()) || !roster.contains(identity.vm())) {
@@ -135,15 +135,15 @@
         MemberStatus current = members.get(identity.vm());
         if (current == null) {
             members.put(
-                    identity.vm(), new MemberStatus(identity, receivedNanos, syncedAsOf, draining));
+                    identity.vm(), new MemberStatus(identity, lastSeenNanos, syncedAsOf, draining));
             return;
         }
-        boolean newer = receivedNanos > current.lastSeenNanos();
+        boolean newer = lastSeenNanos > current.lastSeenNanos();
         members.put(
                 identity.vm(),
                 new MemberStatus(
                         newer ? identity : current.identity(),
-                        Math.max(receivedNanos, current.lastSeenNanos()),
+                        Math.max(lastSeenNanos, current.lastSeenNanos()),
                         later(syncedAsOf, current.syncedAsOfNanos()),
                         newer ? draining : current.draining()));
     }
@@ -249,8 +249,8 @@
      * sees no other VM, so it treats none as dead while it does not see a majority of the roster.
      */
     public boolean isDead(MemberIdentity identity, long nowNanos, long deadAfterNanos) {
-        boolean listenedLongEnough = nowNanos - startNanos >= deadAfterNanos;
-        if (identity.equals(self) || !listenedLongEnough) {
+        boolean hasRunLongEnough = nowNanos - startNanos >= deadAfterNanos;
+        if (identity.equals(self) || !hasRunLongEnough) {
             return false;
         }
         if (!reachesMajority(nowNanos, deadAfterNanos)) {
--- a/core/src/main/java/org/bronzelug/core/membership/PackedAges.java
+++ b/core/src/main/java/org/bronzelug/core/membership/PackedAges.java
@@ -16,9 +16,9 @@
  * it takes the greater. Invariant: an unpacked age is never lower than the packed one, so a
  * receiver never takes its configuration for fresher than it is.
  *
- * <p>A member is sent with its name instead if its two ages differ by more than a few units or if
- * it is about to stop. A member last seen longer ago than a byte can count is left out, since no
- * receiver can use its age.
+ * <p>A member is sent with its name instead if it has only one age, if its two ages differ by more
+ * than a few units, or if it is about to stop. A member last seen longer ago than a byte can count
+ * is left out, since no receiver can use its age.
  *
  * <p>Immutable.
  *
--- a/core/src/main/java/org/bronzelug/core/order/OrderLease.java
+++ b/core/src/main/java/org/bronzelug/core/order/OrderLease.java
@@ -8,8 +8,8 @@
  * <p>The lease is an object in the platform that names its holder and carries a fencing token,
  * {@code fence}, which grows with each new holder. Runners do not check fencing tokens, so without
  * further rules a suspended holder could send an order after the next holder has begun to send its
- * own. Invariant: the orders of two holders are at least the lease time apart. Two rules ensure it.
- * A holder sends orders only within {@link #VALID_MILLIS} of the request for its last confirmed
+ * own. Invariant: the orders of two VMs are at least the lease time apart. Two rules ensure it. A
+ * holder sends orders only within {@link #VALID_MILLIS} of the request for its last confirmed
  * renewal. Another VM acquires the lease only if the object has not changed for as long as the
  * holder could still send orders and have them in transit, plus the lease time.
  *
--- a/core/src/main/java/org/bronzelug/core/order/RolloutPlan.java
+++ b/core/src/main/java/org/bronzelug/core/order/RolloutPlan.java
@@ -22,7 +22,7 @@
     /** Requests per runner up to which streams run at nearly full speed. */
     private static final double LOW_LOAD_REQUESTS = 3;
 
-    /** Requests per runner up to which the remaining runners can bear a third more. */
+    /** Requests per runner up to which the remaining runners can bear a third more requests. */
     private static final double MEDIUM_LOAD_REQUESTS = 7;
 
     private static final int LOW_LOAD_DIVISOR = 2;
--- a/core/src/test/java/org/bronzelug/core/membership/FleetPropertyTest.java
+++ b/core/src/test/java/org/bronzelug/core/membership/FleetPropertyTest.java
@@ -10,9 +10,9 @@
  * Checks freshness, announcements, claims and rates under random schedules of a fleet.
  *
  * <p>Guards against a withdrawn key that still works on one VM, and against a team that is admitted
- * twice its rate. Both come about when a change is confirmed by a majority or a claim moves while
- * VMs restart, are suspended, or are cut off from each other or the platform: a VM that has not
- * received the change continues as before unless it detects that its configuration exceeds the
+ * at twice its rate. Both come about when a change is confirmed by a majority or a claim moves
+ * while VMs restart, are suspended, or are cut off from each other or the platform: a VM that has
+ * not received the change continues as before unless it detects that its configuration exceeds the
  * staleness bound.
  */
 class FleetPropertyTest {
