--- a/core/src/main/java/org/bronzelug/core/placement/CacheEstimate.java
+++ b/core/src/main/java/org/bronzelug/core/placement/CacheEstimate.java
@@ -6,15 +6,22 @@
 import java.util.Optional;
 
 /**
- * What this VM believes the runners to have cached, from its own dispatches and their outcome.
+ * Estimates which prompt prefixes each runner has in its cache.
  *
- * <p>Every entry belongs to one incarnation of one runner; a runner met with another incarnation
- * loses all its entries at once. The failure this guards against: an engine crashes and comes back
- * empty between look-up and dispatch, and a request relies on blocks that are gone. A belief only
- * ever steers the choice; the dispatch names the incarnation it relied upon, and a runner of
- * another one refuses it.
+ * <p>An entry is the hash of one level of a prompt (see {@link PrefixChain}) and the time of its
+ * last use. Entries are added when this VM, or another VM that reports it, has sent a prompt to the
+ * runner. They are removed when the runner reports fewer cached tokens or an eviction, and are
+ * ignored after a fixed lifetime without use. A prompt's estimate is the deepest level up to which
+ * all levels have an entry.
  *
- * <p>Memory is bounded for each runner, the least recently used entry going first, as in the
+ * <p>Invariant: all entries of a runner belong to one incarnation of it, that is, to one start of
+ * its engine. Recording an entry for another incarnation discards the earlier ones. Without this,
+ * an engine that crashes and restarts with an empty cache would still be credited with the blocks
+ * that it lost. An engine may also restart between look-up and dispatch, so the estimate only
+ * influences the choice of the runner: the request carries the incarnation that the choice relied
+ * on, and a runner with another incarnation rejects it.
+ *
+ * <p>Memory is bounded for each runner; the least recently used entry is evicted first, as in the
  * engine. Not thread-safe: guarded by its owner.
  */
 public final class CacheEstimate {
@@ -24,9 +31,9 @@
     private final Map<String, RunnerEntries> runners = new HashMap<>();
 
     /**
-     * @param entriesPerRunner prefixes remembered of one runner
-     * @param lifetimeNanos an entry not used for so long is not believed any more
-     * @param startNanos when this VM began to remember
+     * @param entriesPerRunner maximum number of prefixes recorded for one runner
+     * @param lifetimeNanos time without use after which an entry is ignored
+     * @param startNanos when this VM began to record
      */
     public CacheEstimate(int entriesPerRunner, long lifetimeNanos, long startNanos) {
         this.entriesPerRunner = entriesPerRunner;
@@ -34,7 +41,7 @@
         this.startNanos = startNanos;
     }
 
-    /** Notes that the runner's incarnation holds all levels that it prefilled for the prompt. */
+    /** Records that the incarnation of the runner has cached all levels of the prompt. */
     public void recordCached(String runner, String incarnation, PrefixChain chain, long nowNanos) {
         Map<PrefixHash, Long> entries = entriesOf(runner, incarnation).lastUse;
         for (PrefixLevel level : chain.levels()) {
@@ -42,12 +49,15 @@
         }
     }
 
-    /** Notes that the runner's incarnation holds a level that another VM sent there. */
+    /** Records that the incarnation of the runner has cached a level sent by another VM. */
     public void recordLevel(String runner, String incarnation, PrefixHash level, long nowNanos) {
         entriesOf(runner, incarnation).lastUse.put(level, nowNanos);
     }
 
-    /** Notes what a runner really found: deeper levels believed in before are forgotten. */
+    /**
+     * Records how many tokens of the prompt the runner found in its cache; removes the entries of
+     * deeper levels.
+     */
     public void recordFound(
             String runner, String incarnation, PrefixChain chain, int cachedTokens) {
         Map<PrefixHash, Long> entries = entriesOf(runner, incarnation).lastUse;
@@ -58,17 +68,17 @@
         }
     }
 
-    /** Notes that the runner has dropped a prefix. */
+    /** Records that the runner has evicted a prefix. */
     public void recordEvicted(String runner, String incarnation, PrefixHash hash) {
         entriesOf(runner, incarnation).lastUse.remove(hash);
     }
 
-    /** Forgets all of a runner: it left, crashed, or its events had a gap. */
+    /** Removes all entries of a runner that left or crashed, or some of whose events were lost. */
     public void forget(String runner) {
         runners.remove(runner);
     }
 
-    /** The tokens of the prompt that the runner's incarnation is believed to hold. */
+    /** Returns how many tokens of the prompt the incarnation of the runner probably has cached. */
     public int cachedTokens(String runner, String incarnation, PrefixChain chain, long nowNanos) {
         RunnerEntries entries = runners.get(runner);
         if (entries == null || !entries.incarnation.equals(incarnation)) {
@@ -86,28 +96,29 @@
     }
 
     /**
-     * Whether a prefix not believed in is likely not to be cached: this VM has remembered for as
-     * long as an entry lives. Before that, just after a restart, it may well be cached.
+     * Returns whether a prefix without an entry is probably not cached: this VM has recorded for at
+     * least the lifetime of an entry. Before that, just after a restart, runners may have cached
+     * prefixes that this VM has not recorded.
      */
     public boolean isComplete(long nowNanos) {
         return nowNanos - startNanos >= lifetimeNanos;
     }
 
-    /** Prefixes remembered over all runners. */
+    /** Returns the number of entries of all runners. */
     public int size() {
         return runners.values().stream().mapToInt(entries -> entries.lastUse.size()).sum();
     }
 
     private RunnerEntries entriesOf(String runner, String incarnation) {
-        RunnerEntries held = runners.get(runner);
-        if (held == null || !held.incarnation.equals(incarnation)) {
-            held = new RunnerEntries(incarnation, entriesPerRunner);
-            runners.put(runner, held);
+        RunnerEntries entries = runners.get(runner);
+        if (entries == null || !entries.incarnation.equals(incarnation)) {
+            entries = new RunnerEntries(incarnation, entriesPerRunner);
+            runners.put(runner, entries);
         }
-        return held;
+        return entries;
     }
 
-    /** The prefixes of one runner incarnation, in the order of their last use. */
+    /** The time of last use of each prefix of one runner incarnation, least recently used first. */
     private static final class RunnerEntries {
         private static final float LOAD_FACTOR = 0.75f;
         private static final int INITIAL_CAPACITY = 16;
--- a/core/src/main/java/org/bronzelug/core/placement/LeastLoad.java
+++ b/core/src/main/java/org/bronzelug/core/placement/LeastLoad.java
@@ -5,31 +5,34 @@
 import java.util.Optional;
 
 /**
- * Chooses the endpoint of a request that relies on no cache: the one with the fewest requests for
- * each of its slots, one of this availability zone before others. Stateless and thread-safe.
+ * Chooses the endpoint for a request that does not benefit from a cache.
+ *
+ * <p>Endpoints that failed recently come last, then those with at least half of their slots taken.
+ * Among the rest, endpoints in this VM's availability zone come first, then those with the fewest
+ * requests per slot. Stateless and thread-safe.
  */
 public final class LeastLoad {
     private LeastLoad() {}
 
-    /** The best of the candidates; empty where there is none. */
+    /** Returns the best candidate; empty if there are no candidates. */
     public static Optional<Candidate> choose(Collection<Candidate> candidates) {
         return candidates.stream()
                 .min(
                         Comparator.comparing(Candidate::suspect)
-                                .thenComparing(Candidate::isFull)
+                                .thenComparing(Candidate::isHalfFull)
                                 .thenComparing(candidate -> !candidate.sameZone())
                                 .thenComparingDouble(Candidate::load)
                                 .thenComparing(Candidate::endpoint));
     }
 
     /**
-     * An endpoint that may take the request.
+     * An endpoint that can serve the request.
      *
-     * @param endpoint its id
-     * @param sameZone whether it runs in this VM's availability zone
-     * @param suspect whether it failed lately
-     * @param requests under way there, of all VMs as far as known
-     * @param slots that it serves at once; at least 1
+     * @param endpoint the endpoint's id
+     * @param sameZone whether the endpoint runs in this VM's availability zone
+     * @param suspect whether the endpoint failed recently
+     * @param requests requests of all VMs that are known to be in flight at the endpoint
+     * @param slots requests that the endpoint serves concurrently; at least 1
      */
     public record Candidate(
             String endpoint, boolean sameZone, boolean suspect, int requests, int slots) {
@@ -37,8 +40,11 @@
             return (double) requests / slots;
         }
 
-        /** More than half taken: counts of other VMs lag, and bursts fill the rest. */
-        boolean isFull() {
+        /**
+         * Returns whether at least half of the slots are taken. The other half is left for bursts
+         * and for requests of other VMs, whose counts arrive with a delay.
+         */
+        boolean isHalfFull() {
             return requests * 2 >= slots;
         }
     }
--- a/core/src/main/java/org/bronzelug/core/placement/LoadEstimate.java
+++ b/core/src/main/java/org/bronzelug/core/placement/LoadEstimate.java
@@ -1,44 +1,45 @@
 package org.bronzelug.core.placement;
 
 /**
- * What one VM reckons a runner to be loaded with: its own requests, known at once, and those of the
- * other VMs, known from the runner's reports with a lag.
+ * One VM's estimate of the load of a runner: the VM's own requests, which it knows at once, and
+ * those of the other VMs, which it knows with a delay from the runner's reports.
  *
- * <p>A report counts all VMs' requests, this one's of that moment included; so the others' part is
- * what the report exceeds them by. Taking the greater of own and reported instead forgets the
- * others' queue as soon as this VM sends a little more (docs/MEASUREMENTS.md "Rounds").
+ * <p>A report counts the requests of all VMs, so the load by the other VMs is the reported load
+ * minus this VM's own load at the time of the report. Using the larger of own and reported load
+ * instead would ignore the other VMs' queue as soon as this VM sends a few more requests
+ * (docs/MEASUREMENTS.md "Rounds").
  *
  * <p>Not thread-safe: guarded by its owner.
  */
 public final class LoadEstimate {
     private double ownTokens;
     private int ownStreams;
-    private double othersTokens;
-    private int othersStreams;
+    private double peerTokens;
+    private int peerStreams;
 
-    /** A request is sent, with so many tokens to prefill. */
+    /** Records that a request was sent, with the given number of tokens to prefill. */
     public void begin(double tokens) {
         ownTokens += tokens;
         ownStreams++;
     }
 
-    /** Its prefill is done. */
+    /** Records that the prefill of a request is complete. */
     public void prefilled(double tokens) {
         ownTokens -= tokens;
     }
 
-    /** It has ended. */
+    /** Records that a request has ended. */
     public void end() {
         ownStreams--;
     }
 
-    /** Takes in a report of the runner. */
+    /** Records a report of the runner. */
     public void report(double queuedTokens, int runningStreams) {
-        othersTokens = Math.max(0, queuedTokens - ownTokens);
-        othersStreams = Math.max(0, runningStreams - ownStreams);
+        peerTokens = Math.max(0, queuedTokens - ownTokens);
+        peerStreams = Math.max(0, runningStreams - ownStreams);
     }
 
-    /** Tokens that this VM's requests still wait to have prefilled. */
+    /** Returns the tokens of this VM's requests that are still to be prefilled. */
     public double ownTokens() {
         return Math.max(0, ownTokens);
     }
@@ -47,12 +48,9 @@
         return ownStreams;
     }
 
-    /** The load for a placement. */
+    /** Returns the load by all VMs, for {@link PlacementPolicy}. */
     public RunnerLoad load(String name, String incarnation) {
         return new RunnerLoad(
-                name,
-                incarnation,
-                Math.max(0, ownTokens) + othersTokens,
-                ownStreams + othersStreams);
+                name, incarnation, Math.max(0, ownTokens) + peerTokens, ownStreams + peerStreams);
     }
 }
--- a/core/src/main/java/org/bronzelug/core/placement/Placement.java
+++ b/core/src/main/java/org/bronzelug/core/placement/Placement.java
@@ -1,12 +1,13 @@
 package org.bronzelug.core.placement;
 
 /**
- * A choice of runner.
+ * The runner chosen for a prompt. Immutable.
  *
  * @param runner the endpoint's name
- * @param incarnation that the choice relies upon; the runner refuses the request if it has another
- * @param estimatedCachedTokens tokens expected in its cache
- * @param queuedTokens that wait to be prefilled before this request
+ * @param incarnation the incarnation that the choice relies on; the runner rejects the request if
+ *     its incarnation is another
+ * @param estimatedCachedTokens tokens of the prompt that the runner probably has cached
+ * @param queuedTokens tokens of other requests that are to be prefilled before this one
  * @param costNanos expected time to the first token
  */
 public record Placement(
--- a/core/src/main/java/org/bronzelug/core/placement/PlacementPolicy.java
+++ b/core/src/main/java/org/bronzelug/core/placement/PlacementPolicy.java
@@ -5,16 +5,23 @@
 import org.bronzelug.core.membership.Rendezvous;
 
 /**
- * Chooses the runner of a request: the least expected time to the first token.
+ * Chooses the runner for a prompt by prefix cache and load: the runner with the lowest cost, which
+ * approximates the time to the first token.
  *
- * <p>The cost of a runner is the prefill work that waits there plus that of the tokens missing in
- * its cache, plus the slowdown by the streams it generates for. Where the cache is not known, the
- * runner that rendezvous hashing names for the prompt's shared prefix is assumed to hold it. That
- * needs no memory, so a restarted VM, or all of them at once, place as before the restart. A VM
- * that has remembered for long enough, and knows who holds the prompt's root, trusts that instead:
- * a runner without the root would have to compute all of it.
+ * <p>The cost of a runner is the time to prefill the tokens queued there and the prompt's tokens
+ * that are missing from its cache, plus the slowdown by the streams that it is generating. A
+ * missing token has a higher weight than a queued one.
  *
- * <p>Stateless and thread-safe.
+ * <p>Cached tokens are taken from a {@link CacheEstimate}. If it has no runner with the prompt's
+ * deepest shared level, the runner that rendezvous hashing selects for that level is assumed to
+ * have it. Rendezvous hashing needs no memory, so a VM places prompts after a restart as before,
+ * even if all VMs restart at once. The assumption is not made if the estimate is complete (see
+ * {@link CacheEstimate#isComplete}) and has a runner with the prompt's root: a runner without the
+ * root would have to prefill the whole prompt.
+ *
+ * <p>Invariant: the choice depends only on the prompt, the runners' loads and the cache estimate,
+ * not on the order of the runners; equal costs are decided by rendezvous hashing. VMs that know the
+ * same thus choose the same runner. Stateless and thread-safe.
  */
 public final class PlacementPolicy {
     private final PlacementSettings settings;
@@ -24,27 +31,29 @@
     }
 
     /**
-     * Chooses among the runners.
+     * Chooses a runner.
      *
-     * @return empty where there is no runner
+     * @return the choice; empty if there are no runners
      */
     public Optional<Placement> choose(
             PrefixChain chain,
             Collection<RunnerLoad> runners,
             CacheEstimate cacheEstimate,
             long nowNanos) {
-        boolean known =
-                anyKnown(chain.deepestSharedLevel(), chain, runners, cacheEstimate, nowNanos)
+        boolean isCacheKnown =
+                isAnyCached(chain.deepestSharedLevel(), chain, runners, cacheEstimate, nowNanos)
                         || cacheEstimate.isComplete(nowNanos)
-                                && anyKnown(chain.root(), chain, runners, cacheEstimate, nowNanos);
-        Optional<String> home = known ? Optional.empty() : homeRunner(chain, runners);
+                                && isAnyCached(
+                                        chain.root(), chain, runners, cacheEstimate, nowNanos);
+        Optional<String> rendezvousChoice =
+                isCacheKnown ? Optional.empty() : rendezvousRunner(chain, runners);
         double weight = missingTokenWeight(runners);
         Optional<Placement> best = Optional.empty();
         for (RunnerLoad runner : runners) {
-            boolean assumeHome = home.filter(runner.name()::equals).isPresent();
+            boolean assumeCached = rendezvousChoice.filter(runner.name()::equals).isPresent();
             Placement candidate =
-                    evaluate(chain, runner, assumeHome, weight, cacheEstimate, nowNanos);
-            if (best.isEmpty() || better(chain, candidate, best.get())) {
+                    evaluate(chain, runner, assumeCached, weight, cacheEstimate, nowNanos);
+            if (best.isEmpty() || isBetter(chain, candidate, best.get())) {
                 best = Optional.of(candidate);
             }
         }
@@ -52,12 +61,13 @@
     }
 
     /**
-     * What a missing token counts, against one that waits.
+     * Returns the cost of a token missing from the cache, relative to a queued token.
      *
-     * <p>It grows with the queues. The failure this guards against: half of the runners leave, all
-     * queues get long, and their differences, known late, outweigh every cached prefix; prefixes
-     * are copied everywhere, push each other out, and the misses make the queues longer still. A
-     * token computed again delays all who wait behind it, so that is what it counts.
+     * <p>The weight grows with the mean queue length, since a token that is prefilled again delays
+     * all requests queued behind it. Without this, when half of the runners leave, all queues grow
+     * and their differences, which are known with a delay, outweigh every cached prefix: prefixes
+     * are copied to all runners and evict each other, and the cache misses make the queues longer
+     * still.
      */
     private double missingTokenWeight(Collection<RunnerLoad> runners) {
         double queued =
@@ -68,14 +78,14 @@
     private Placement evaluate(
             PrefixChain chain,
             RunnerLoad runner,
-            boolean assumeHome,
+            boolean assumeCached,
             double missingTokenWeight,
             CacheEstimate cacheEstimate,
             long nowNanos) {
         int cached =
                 cacheEstimate.cachedTokens(runner.name(), runner.incarnation(), chain, nowNanos);
-        int assumed = assumeHome ? chain.deepestSharedLevel().tokens() : 0;
-        int missing = chain.tokens() - Math.max(cached, assumed);
+        int assumedTokens = assumeCached ? chain.deepestSharedLevel().tokens() : 0;
+        int missing = chain.tokens() - Math.max(cached, assumedTokens);
         double weighted = runner.queuedPrefillTokens() + missing * missingTokenWeight;
         double prefill = weighted * settings.nanosPerPrefillToken();
         double decode = runner.runningStreams() * settings.nanosPerRunningStream();
@@ -87,7 +97,7 @@
                 prefill + decode);
     }
 
-    private static boolean better(PrefixChain chain, Placement candidate, Placement best) {
+    private static boolean isBetter(PrefixChain chain, Placement candidate, Placement best) {
         if (candidate.costNanos() != best.costNanos()) {
             return candidate.costNanos() < best.costNanos();
         }
@@ -95,12 +105,13 @@
         return Rendezvous.weight(key, candidate.runner()) > Rendezvous.weight(key, best.runner());
     }
 
-    private static Optional<String> homeRunner(PrefixChain chain, Collection<RunnerLoad> runners) {
+    private static Optional<String> rendezvousRunner(
+            PrefixChain chain, Collection<RunnerLoad> runners) {
         String key = chain.deepestSharedLevel().hash().toString();
         return Rendezvous.first(key, runners.stream().map(RunnerLoad::name).toList());
     }
 
-    private static boolean anyKnown(
+    private static boolean isAnyCached(
             PrefixLevel level,
             PrefixChain chain,
             Collection<RunnerLoad> runners,
--- a/core/src/main/java/org/bronzelug/core/placement/PrefixChain.java
+++ b/core/src/main/java/org/bronzelug/core/placement/PrefixChain.java
@@ -6,18 +6,19 @@
 import net.openhft.hashing.LongTupleHashFunction;
 
 /**
- * The nested levels of one prompt, the outermost first.
+ * The nested levels of one prompt, the shortest first. Each level extends the previous one by one
+ * segment of the prompt, and its hash covers all text from the prompt's start.
  *
  * <p>Invariant: two chains share a level's hash only if team, model, weights version and all text
- * up to that level are equal. So no cache entry of another team or of older weights can ever be
- * found under it: the line "never relies on cache entries from another team or older weights" holds
- * by the name alone. Immutable.
+ * up to that level are equal. A look-up by this hash therefore never finds a cache entry of another
+ * team or of older weights. Immutable.
  *
- * @param salt what the runner keeps cached blocks apart by
- * @param levels the outermost first; never empty
+ * @param salt by which the runner separates the cached blocks of different teams, models and
+ *     weights
+ * @param levels the shortest first; never empty
  */
 public record PrefixChain(String salt, List<PrefixLevel> levels) {
-    /** Bytes of text that count as one metered token (docs/SCHEMA.md "Metered tokens"). */
+    /** Bytes of text per metered token (docs/SCHEMA.md "Metered tokens"). */
     public static final int BYTES_PER_TOKEN = 4;
 
     private static final LongTupleHashFunction HASH = LongTupleHashFunction.murmur_3();
@@ -26,7 +27,7 @@
         levels = List.copyOf(levels);
     }
 
-    /** Builds the chain of a prompt. */
+    /** Builds the chain of a prompt from the text of its segments. */
     public static PrefixChain of(
             String team, String model, long weightsVersion, List<String> segments) {
         String salt = salt(team, model, weightsVersion);
@@ -36,62 +37,65 @@
         for (String segment : segments) {
             byte[] text = segment.getBytes(StandardCharsets.UTF_8);
             bytes += text.length;
-            parent = next(parent, text);
+            parent = childHash(parent, text);
             levels.add(new PrefixLevel(parent, tokens(bytes)));
         }
         return new PrefixChain(salt, levels);
     }
 
-    /** Builds the chain of a prompt whose parts the caller names. */
+    /** Builds the chain of a prompt from the ids that the caller gives for its parts. */
     public static PrefixChain ofParts(String salt, List<PromptPart> parts) {
         List<PrefixLevel> levels = new ArrayList<>();
         PrefixHash parent = hash(salt.getBytes(StandardCharsets.UTF_8));
         int tokens = 0;
         for (PromptPart part : parts) {
             tokens += part.tokens();
-            parent = next(parent, part.id().getBytes(StandardCharsets.UTF_8));
+            parent = childHash(parent, part.id().getBytes(StandardCharsets.UTF_8));
             levels.add(new PrefixLevel(parent, tokens));
         }
         return new PrefixChain(salt, levels);
     }
 
-    /** Keeps a team's blocks apart in the runner's own cache, by team, model and weights. */
+    /** Returns the salt that separates blocks by team, model and weights in the runner's cache. */
     public static String salt(String team, String model, long weightsVersion) {
         String text = team.length() + ":" + team + model.length() + ":" + model + weightsVersion;
         return hash(text.getBytes(StandardCharsets.UTF_8)).toString();
     }
 
-    /** The metered tokens of so many bytes of text. */
+    /** Returns the number of metered tokens in the given number of bytes. */
     public static int tokens(int bytes) {
         return (bytes + BYTES_PER_TOKEN - 1) / BYTES_PER_TOKEN;
     }
 
-    /** Metered tokens of the whole prompt. */
+    /** Returns the metered tokens of the whole prompt. */
     public int tokens() {
         return levels.get(levels.size() - 1).tokens();
     }
 
-    /** The outermost level: what callers are steered by. */
+    /** Returns the shortest level, by which callers choose a VM. */
     public PrefixLevel root() {
         return levels.get(0);
     }
 
     /**
-     * The deepest level that other prompts are likely to share: the last but one, since the last
-     * segment is the caller's own question; the only one where there is no other.
+     * Returns the deepest level that other prompts are likely to share: the last but one, since the
+     * last segment is the caller's own question, or the only level if there is just one.
      */
     public PrefixLevel deepestSharedLevel() {
         return levels.get(Math.max(0, levels.size() - 2));
     }
 
-    /** The levels that other prompts are likely to share: all up to the deepest such one. */
+    /** Returns all levels up to the deepest shared one. */
     public List<PrefixLevel> sharedLevels() {
         return levels.subList(0, Math.max(1, levels.size() - 1));
     }
 
-    private static PrefixHash next(PrefixHash parent, byte[] text) {
-        PrefixHash own = hash(text);
-        return hash(new long[] {parent.high(), parent.low(), own.high(), own.low(), text.length});
+    private static PrefixHash childHash(PrefixHash parent, byte[] text) {
+        PrefixHash segmentHash = hash(text);
+        return hash(
+                new long[] {
+                    parent.high(), parent.low(), segmentHash.high(), segmentHash.low(), text.length
+                });
     }
 
     private static PrefixHash hash(byte[] bytes) {
--- a/core/src/main/java/org/bronzelug/core/placement/PrefixHash.java
+++ b/core/src/main/java/org/bronzelug/core/placement/PrefixHash.java
@@ -1,7 +1,7 @@
 package org.bronzelug.core.placement;
 
 /**
- * 128 bits that name a prefix.
+ * A 128-bit hash that identifies a prefix.
  *
  * <p>The chance that two of 100 million prefixes collide is below 1e-22. Immutable.
  */
--- a/core/src/main/java/org/bronzelug/core/placement/PromptPart.java
+++ b/core/src/main/java/org/bronzelug/core/placement/PromptPart.java
@@ -1,9 +1,9 @@
 package org.bronzelug.core.placement;
 
 /**
- * One part of a prompt, as its caller names it.
+ * One part of a prompt, as identified by the caller. Immutable.
  *
- * @param id equal for equal text
- * @param tokens of this part alone
+ * @param id equal for parts with equal text
+ * @param tokens metered tokens of this part alone
  */
 public record PromptPart(String id, int tokens) {}
--- a/core/src/main/java/org/bronzelug/core/placement/PromptUrgency.java
+++ b/core/src/main/java/org/bronzelug/core/placement/PromptUrgency.java
@@ -5,33 +5,35 @@
 /**
  * Maps the ranks of a team and a route to the priority by which runners admit queued prompts.
  *
- * <p>The load it answers: all teams have one rank, and runners prefill long prompts of a less
- * urgent route. Without the route's rank, short urgent prompts queue behind every long one that
- * arrived earlier and miss their goal.
+ * <p>The team's rank takes precedence over the route's. If priorities were by team alone and all
+ * teams had the same rank, short urgent prompts would queue behind every earlier long prompt of a
+ * less urgent route and miss their target time.
  *
- * <p>Invariant: a team's rank goes before all routes' ranks. Stateless and thread-safe.
+ * <p>Invariant: a prompt of a team with a lower rank never has a less urgent priority than a prompt
+ * of a team with a higher rank. Stateless and thread-safe.
  */
 public final class PromptUrgency {
-    /** The most urgent; 0 stays free. */
+    /** The most urgent priority; 0 is unused. */
     public static final int FIRST = 1;
 
     public static final int LAST = 9;
 
-    /** Ranks of routes that are distinguished within one rank of teams. */
+    /** Number of route ranks that are distinguished within one team rank. */
     private static final int ROUTE_RANKS = 3;
 
     private PromptUrgency() {}
 
     /**
-     * The urgency between {@link #FIRST} and {@link #LAST}.
+     * Returns the priority, between {@link #FIRST} (most urgent) and {@link #LAST}.
      *
-     * @param teamRank of the caller's team, 0 first; empty where it has the route's
-     * @param routeRank of the route, 0 first
+     * @param teamRank rank of the caller's team, 0 is the most urgent; empty if the team has none,
+     *     so that the route's rank is used instead
+     * @param routeRank rank of the route, 0 is the most urgent
      */
     public static int of(OptionalInt teamRank, int routeRank) {
         int rank = Math.max(0, teamRank.orElse(routeRank));
         int withinRank = Math.clamp(routeRank, 0, ROUTE_RANKS - 1);
-        long urgency = FIRST + (long) rank * ROUTE_RANKS + withinRank;
-        return (int) Math.min(LAST, urgency);
+        long priority = FIRST + (long) rank * ROUTE_RANKS + withinRank;
+        return (int) Math.min(LAST, priority);
     }
 }
--- a/core/src/main/java/org/bronzelug/core/placement/RunnerLoad.java
+++ b/core/src/main/java/org/bronzelug/core/placement/RunnerLoad.java
@@ -1,13 +1,14 @@
 package org.bronzelug.core.placement;
 
 /**
- * What is known of a runner that may take a request.
+ * The estimated load of a runner that can serve a request. Immutable.
  *
- * @param name of the endpoint
- * @param incarnation of the engine; an entry of another incarnation is worth nothing
- * @param queuedPrefillTokens tokens still to be prefilled: sent by this VM, or reported by the
- *     runner for others
- * @param runningStreams streams that it generates for
+ * @param name the endpoint's name
+ * @param incarnation the engine's incarnation; cache entries recorded for another incarnation are
+ *     ignored
+ * @param queuedPrefillTokens tokens still to be prefilled, of requests that this VM sent or that
+ *     the runner reported
+ * @param runningStreams streams that the runner is generating
  */
 public record RunnerLoad(
         String name, String incarnation, double queuedPrefillTokens, int runningStreams) {}
--- a/core/src/test/java/org/bronzelug/core/placement/CacheEstimateTest.java
+++ b/core/src/test/java/org/bronzelug/core/placement/CacheEstimateTest.java
@@ -13,11 +13,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * No request relies on cache entries of a dead engine, another team, or older weights.
- *
- * <p>What the caller would see: text made from another team's sheet, or a slow first token where a
- * hit was promised. The order: blocks are cached, then the engine crashes and comes back empty, or
- * the weights change, or another team sends the same text. Why: the text alone names the prefix.
+ * Guards against requests that rely on cache entries of a dead engine, another team or older
+ * weights. If the text alone identified a prefix, an estimate would outlive a crash of the engine
+ * or a change of its weights, and would cover equal text of another team. Callers would get text
+ * generated from another team's prompt, or a slow first token instead of a cache hit.
  */
 class CacheEstimateTest {
     private static final List<String> TEXT = List.of("rules ".repeat(50), "sheet ".repeat(50), "q");
@@ -27,13 +26,13 @@
     private final PrefixChain chain = PrefixChain.of("team", "model", 1, TEXT);
 
     @Test
-    void findsWhatItsOwnIncarnationCached() {
+    void findsPrefixesCachedByTheSameIncarnation() {
         cacheEstimate.recordCached("runner", "a", chain, 0);
         assertThat(cacheEstimate.cachedTokens("runner", "a", chain, 10)).isEqualTo(chain.tokens());
     }
 
     @Test
-    void findsNothingOfADeadIncarnation() {
+    void findsNothingCachedByADeadIncarnation() {
         cacheEstimate.recordCached("runner", "a", chain, 0);
         assertThat(cacheEstimate.cachedTokens("runner", "b", chain, 10)).isEqualTo(0);
         cacheEstimate.recordCached(
@@ -42,7 +41,7 @@
     }
 
     @Test
-    void findsNothingOfAnotherTeamOrOtherWeights() {
+    void findsNothingCachedForAnotherTeamModelOrWeightsVersion() {
         cacheEstimate.recordCached("runner", "a", chain, 0);
         for (PrefixChain other :
                 List.of(
@@ -55,53 +54,54 @@
     }
 
     @Test
-    void believesNoLongerThanItsLifetime() {
+    void ignoresEntriesPastTheirLifetime() {
         cacheEstimate.recordCached("runner", "a", chain, 0);
         assertThat(cacheEstimate.cachedTokens("runner", "a", chain, LIFETIME + 1)).isEqualTo(0);
     }
 
     @Test
-    void learnsWhatTheRunnerReallyFound() {
+    void removesLevelsThatTheRunnerDidNotFind() {
         cacheEstimate.recordCached("runner", "a", chain, 0);
         int root = chain.root().tokens();
         cacheEstimate.recordFound("runner", "a", chain, root);
         assertThat(cacheEstimate.cachedTokens("runner", "a", chain, 10)).isEqualTo(root);
     }
 
-    /** Names of team and model can't be shifted into each other to meet the same salt. */
+    /** Moving characters between the names of team and model must not lead to the same salt. */
     @Property(seed = "7601")
-    void saltsAreDistinctForDistinctOwners(
-            @ForAll @Size(min = 2, max = 6) Set<@IntRange(min = 0, max = 40) Integer> owners) {
+    void saltsAreDistinctForDistinctTeamsAndModels(
+            @ForAll @Size(min = 2, max = 6)
+                    Set<@IntRange(min = 0, max = 40) Integer> teamsAndModels) {
         Set<String> salts = new HashSet<>();
-        for (int owner : owners) {
-            String team = "a".repeat(owner % 7);
-            String model = "a".repeat(owner / 7);
+        for (int teamAndModel : teamsAndModels) {
+            String team = "a".repeat(teamAndModel % 7);
+            String model = "a".repeat(teamAndModel / 7);
             salts.add(PrefixChain.salt(team, model, 1));
         }
-        assertThat(salts).hasSize(owners.size());
+        assertThat(salts).hasSize(teamsAndModels.size());
     }
 
-    /** A restarted VM has no beliefs, and places as before: by the prompt alone. */
+    /** A restarted VM has no cache estimate, so it must place prompts by the prompt alone. */
     @Property(seed = "7602")
-    void placementWithoutStateIsTheSameOnEveryVm(@ForAll @IntRange(max = 500) int prompt) {
+    void placementWithoutEstimateIsTheSameOnEveryVm(@ForAll @IntRange(max = 500) int prompt) {
         PlacementPolicy policy = new PlacementPolicy(PlacementSettings.defaults());
-        PrefixChain asked =
+        PrefixChain promptChain =
                 PrefixChain.of("team", "model", 1, List.of("rules " + prompt, "question"));
         List<RunnerLoad> runners =
                 List.of(load("r1", 0), load("r2", 0), load("r3", 0), load("r4", 0));
-        Optional<Placement> one =
-                policy.choose(asked, runners, new CacheEstimate(10, LIFETIME, 0), 0);
-        Optional<Placement> other =
+        Optional<Placement> first =
+                policy.choose(promptChain, runners, new CacheEstimate(10, LIFETIME, 0), 0);
+        Optional<Placement> second =
                 policy.choose(
                         PrefixChain.of("team", "model", 1, List.of("rules " + prompt, "another")),
                         runners.reversed(),
                         new CacheEstimate(10, LIFETIME, 0),
                         99);
-        assertThat(one.map(Placement::runner)).isEqualTo(other.map(Placement::runner));
+        assertThat(first.map(Placement::runner)).isEqualTo(second.map(Placement::runner));
     }
 
     @Test
-    void aLongQueueOutweighsACachedPrefix() {
+    void longQueueOutweighsCachedPrefix() {
         PlacementPolicy policy = new PlacementPolicy(PlacementSettings.defaults());
         cacheEstimate.recordCached("r1", "i", chain, 0);
         assertThat(choose(policy, load("r1", 0), load("r2", 0))).isEqualTo("r1");
--- a/core/src/test/java/org/bronzelug/core/placement/LeastLoadTest.java
+++ b/core/src/test/java/org/bronzelug/core/placement/LeastLoadTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which endpoint a request without a cache goes to. */
+/** Tests the choice of the endpoint for a request that does not benefit from a cache. */
 class LeastLoadTest {
     @ParameterizedTest
     @CsvSource({
@@ -16,7 +16,7 @@
         "near half full goes far, 3, 0, false, far",
         "near suspect goes far, 0, 2, true, far",
     })
-    void prefersTheOwnZoneWhileItHasRoom(
+    void prefersTheSameZoneUnlessHalfFullOrSuspect(
             String name, int nearRequests, int farRequests, boolean suspect, String expected) {
         Candidate near = new Candidate("near", true, suspect, nearRequests, 6);
         Candidate far = new Candidate("far", false, false, farRequests, 6);
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void findsNothingAmongNone() {
+    void choosesNothingWithoutCandidates() {
         assertThat(LeastLoad.choose(List.of())).isEmpty();
     }
 }
--- a/core/src/test/java/org/bronzelug/core/placement/LimitedRunnersReplayTest.java
+++ b/core/src/test/java/org/bronzelug/core/placement/LimitedRunnersReplayTest.java
@@ -19,8 +19,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Seven of eight runners name a limit, and the eighth gets the rest. Short prompts that could go
- * there use the limits up; the long ones crowd the eighth runner, are late and rejected.
+ * Guards against late and rejected long prompts when seven of eight runners advertise a request
+ * limit. If requests of any size count against the limits, short prompts use them up, and the long
+ * prompts queue at the eighth runner, which could have served the short ones.
  */
 class LimitedRunnersReplayTest {
     private static final int RUNNERS = 8;
@@ -36,18 +37,18 @@
     private static final long SHORT_GOAL_MILLIS = 600;
     private static final double NANOS_PER_TOKEN = 24_000;
     private static final long MILLI = 1_000_000L;
-    private static final long PLAYED_MILLIS = 40_000;
+    private static final long RUN_MILLIS = 40_000;
 
-    /** A prompt, and when it arrived or comes again. */
+    /** A prompt, the time of this attempt and the time of the first one. */
     private record Arrival(long nanos, long firstNanos, boolean isLong, PrefixChain chain) {}
 
-    /** What became of the prompts of one kind. */
+    /** Counts the prompts of one kind by their outcome. */
     private static final class Outcome {
         private int inTime;
         private int late;
         private int rejected;
 
-        private double inTimePart() {
+        private double inTimeFraction() {
             return (double) inTime / (inTime + late + rejected);
         }
     }
@@ -58,8 +59,8 @@
         private int cachedTokens;
         private long busyUntilNanos;
 
-        /** Reads a prompt; returns when its first token is generated. */
-        private long read(PrefixChain chain, long nowNanos) {
+        /** Prefills a prompt; returns the time at which its first token is generated. */
+        private long prefill(PrefixChain chain, long nowNanos) {
             int missing = chain.tokens();
             for (PrefixLevel level : chain.levels()) {
                 if (!cache.containsKey(level.hash())) {
@@ -67,13 +68,13 @@
                 }
                 missing = chain.tokens() - level.tokens();
             }
-            keep(chain);
-            long work = (long) (missing * NANOS_PER_TOKEN);
-            busyUntilNanos = Math.max(busyUntilNanos, nowNanos) + work;
+            addToCache(chain);
+            long workNanos = (long) (missing * NANOS_PER_TOKEN);
+            busyUntilNanos = Math.max(busyUntilNanos, nowNanos) + workNanos;
             return busyUntilNanos;
         }
 
-        private void keep(PrefixChain chain) {
+        private void addToCache(PrefixChain chain) {
             int before = 0;
             for (PrefixLevel level : chain.levels()) {
                 if (cache.put(level.hash(), level.tokens() - before) == null) {
@@ -89,20 +90,20 @@
         }
     }
 
-    /** One play of the load. */
+    /** Replays the same load on the runners, with or without a preference for larger prompts. */
     private static final class Replay {
         private final boolean largerFirst;
         private final Random random;
         private final List<Runner> runners = new ArrayList<>();
         private final CacheEstimate cacheEstimate = new CacheEstimate(256, 20_000 * MILLI, 0);
-        private final PriorityQueue<Arrival> returning =
+        private final PriorityQueue<Arrival> retries =
                 new PriorityQueue<>((left, right) -> Long.compare(left.nanos(), right.nanos()));
         private final PlacementPolicy policy =
                 new PlacementPolicy(
                         new PlacementSettings(
                                 NANOS_PER_TOKEN, 50_000, 3, 500 * MILLI / NANOS_PER_TOKEN));
-        private final Outcome longOnes = new Outcome();
-        private final Outcome shortOnes = new Outcome();
+        private final Outcome longPrompts = new Outcome();
+        private final Outcome shortPrompts = new Outcome();
 
         private Replay(boolean largerFirst, long seed) {
             this.largerFirst = largerFirst;
@@ -117,8 +118,8 @@
             }
         }
 
-        private void play() {
-            for (long millis = 1; millis < PLAYED_MILLIS; millis++) {
+        private void run() {
+            for (long millis = 1; millis < RUN_MILLIS; millis++) {
                 long nowNanos = millis * MILLI;
                 if (random.nextDouble() < LONG_PER_MILLI) {
                     place(new Arrival(nowNanos, nowNanos, true, longPrompt()));
@@ -126,8 +127,8 @@
                 if (random.nextDouble() < SHORT_PER_MILLI) {
                     place(new Arrival(nowNanos, nowNanos, false, shortPrompt()));
                 }
-                while (!returning.isEmpty() && returning.peek().nanos() <= nowNanos) {
-                    place(returning.poll());
+                while (!retries.isEmpty() && retries.peek().nanos() <= nowNanos) {
+                    place(retries.poll());
                 }
             }
         }
@@ -159,7 +160,7 @@
                     reject(arrival, retryMillis.getAsLong());
                     return;
                 }
-                boolean taken =
+                boolean acquired =
                         runners.get(index)
                                 .limit
                                 .tryAcquire(
@@ -167,7 +168,7 @@
                                         largerFirst,
                                         random.nextDouble(),
                                         arrival.nanos());
-                if (taken) {
+                if (acquired) {
                     serve(arrival, index);
                     return;
                 }
@@ -203,22 +204,22 @@
                     random.nextDouble());
         }
 
-        /** A caller comes again once. */
+        /** Schedules the only retry of a rejected prompt, or counts the prompt as rejected. */
         private void reject(Arrival arrival, long retryMillis) {
             if (arrival.nanos() > arrival.firstNanos()) {
-                longOnes.rejected++;
+                longPrompts.rejected++;
                 return;
             }
-            long again = arrival.nanos() + retryMillis * MILLI;
-            returning.add(new Arrival(again, arrival.firstNanos(), true, arrival.chain()));
+            long retryNanos = arrival.nanos() + retryMillis * MILLI;
+            retries.add(new Arrival(retryNanos, arrival.firstNanos(), true, arrival.chain()));
         }
 
         private void serve(Arrival arrival, int index) {
-            long firstToken = runners.get(index).read(arrival.chain(), arrival.nanos());
+            long firstToken = runners.get(index).prefill(arrival.chain(), arrival.nanos());
             cacheEstimate.recordCached(
                     String.valueOf(index), "first", arrival.chain(), arrival.nanos());
             long goalMillis = arrival.isLong() ? LONG_GOAL_MILLIS : SHORT_GOAL_MILLIS;
-            Outcome outcome = arrival.isLong() ? longOnes : shortOnes;
+            Outcome outcome = arrival.isLong() ? longPrompts : shortPrompts;
             if (firstToken - arrival.firstNanos() <= goalMillis * MILLI) {
                 outcome.inTime++;
             } else {
@@ -229,13 +230,14 @@
 
     @ParameterizedTest
     @CsvSource({"1", "2", "3", "4"})
-    void largerPromptsGoToLimitedRunnersAndAllAreServedSooner(long seed) {
+    void morePromptsAreInTimeWhenLimitedRunnersPreferLargerOnes(long seed) {
         Replay anySize = new Replay(false, seed);
-        anySize.play();
+        anySize.run();
         Replay largerFirst = new Replay(true, seed);
-        largerFirst.play();
-        assertThat(largerFirst.longOnes.inTimePart())
-                .isGreaterThan(anySize.longOnes.inTimePart() + 0.05);
-        assertThat(largerFirst.shortOnes.inTimePart()).isAtLeast(anySize.shortOnes.inTimePart());
+        largerFirst.run();
+        assertThat(largerFirst.longPrompts.inTimeFraction())
+                .isGreaterThan(anySize.longPrompts.inTimeFraction() + 0.05);
+        assertThat(largerFirst.shortPrompts.inTimeFraction())
+                .isAtLeast(anySize.shortPrompts.inTimeFraction());
     }
 }
--- a/core/src/test/java/org/bronzelug/core/placement/PrefillRateTest.java
+++ b/core/src/test/java/org/bronzelug/core/placement/PrefillRateTest.java
@@ -9,19 +9,24 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
 
-/** Placement reckons with the speed of another engine: queues are taken for short or long ones. */
+/**
+ * Guards against queue delays that placement overestimates or underestimates because it assumes the
+ * prefill rate of another engine.
+ */
 class PrefillRateTest {
     private static final int TOKENS = 9_000;
     private static final int SAMPLES = 30;
 
     @Test
-    void startsWithAUsualEngine() {
-        assertThat(new PrefillRate().nanosPerToken()).isEqualTo(PrefillRate.START_NANOS);
+    void startsWithTheDefault() {
+        assertThat(new PrefillRate().nanosPerToken()).isEqualTo(PrefillRate.DEFAULT_NANOS);
     }
 
-    /** A third of the samples are of prompts that waited, or whose prefix was cached after all. */
+    /**
+     * A third of the samples are of prompts that queued, or whose prefix was cached unexpectedly.
+     */
     @Property(seed = "9101")
-    void findsTheRateOfAnyEngineDespiteWrongSamples(
+    void estimatesTheRateOfAnyEngineDespiteWrongSamples(
             @ForAll @IntRange(min = 2_000, max = 500_000) int nanosPerToken, @ForAll long seed) {
         PrefillRate rate = new PrefillRate();
         Random random = new Random(seed);
@@ -38,19 +43,19 @@
         for (int sample = 0; sample < SAMPLES; sample++) {
             rate.record(tokens, nanos);
         }
-        assertThat(rate.nanosPerToken()).isAtLeast(PrefillRate.LEAST_NANOS);
-        assertThat(rate.nanosPerToken()).isAtMost(PrefillRate.MOST_NANOS);
+        assertThat(rate.nanosPerToken()).isAtLeast(PrefillRate.MINIMUM_NANOS);
+        assertThat(rate.nanosPerToken()).isAtMost(PrefillRate.MAXIMUM_NANOS);
     }
 
-    /** Short prompts take mostly a fixed time, which is not the engine's rate. */
+    /** The time of a short prompt is mostly fixed latency, which would distort the rate. */
     @Property(seed = "9103")
     void ignoresShortPrompts(
-            @ForAll @IntRange(max = PrefillRate.LEAST_TOKENS - 1) int tokens,
+            @ForAll @IntRange(max = PrefillRate.MINIMUM_TOKENS - 1) int tokens,
             @ForAll @LongRange(min = 1, max = 1_000_000_000_000L) long nanos) {
         PrefillRate rate = new PrefillRate();
         for (int sample = 0; sample < SAMPLES; sample++) {
             rate.record(tokens, nanos);
         }
-        assertThat(rate.nanosPerToken()).isEqualTo(PrefillRate.START_NANOS);
+        assertThat(rate.nanosPerToken()).isEqualTo(PrefillRate.DEFAULT_NANOS);
     }
 }
--- a/core/src/test/java/org/bronzelug/core/placement/PromptAdmissionTest.java
+++ b/core/src/test/java/org/bronzelug/core/placement/PromptAdmissionTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Callers wait for seconds though most could be served in time: a part of the runners is gone, the
- * rest is let run full, and everybody is late.
+ * Guards against an overload in which all callers are late although most could be served in time:
+ * some runners have failed, and the remaining ones queue every prompt.
  */
 class PromptAdmissionTest {
     private static final double TOKENS_PER_MILLI = 40;
@@ -22,71 +22,71 @@
     private static final int LONG_TOKENS = 6_000;
     private static final int SHORT_TOKENS = 800;
     private static final int RUNNERS = 5;
-    private static final int WAVE_MILLIS = 8_000;
+    private static final int OVERLOAD_MILLIS = 8_000;
 
     @ParameterizedTest
     @CsvSource({
         "short queue,            false, 100, false",
-        "bearable queue,         false, 470, false",
+        "moderate queue,         false, 470, false",
         "queue beyond the goal,  false, 500, true",
         "urgent prompt,          true, 5000, false",
     })
-    void turnsLessUrgentPromptsAwayFromLongQueues(
-            String name, boolean urgent, long queueMillis, boolean turnedAway) {
-        OptionalLong back =
+    void rejectsLessUrgentPromptsAtLongQueues(
+            String name, boolean urgent, long queueMillis, boolean rejected) {
+        OptionalLong retryMillis =
                 PromptAdmission.retryAfterMillis(urgent, LONG_GOAL_MILLIS, queueMillis * 1e6, 0.5);
-        assertThat(back.isPresent()).isEqualTo(turnedAway);
+        assertThat(retryMillis.isPresent()).isEqualTo(rejected);
     }
 
     /**
-     * Eight seconds in which prompts come a quarter faster than five runners read them. Those
-     * rejected retry once, after the delay they were given. More callers than without the bound get
-     * their first token in time, and nearly all urgent ones do.
+     * For 8 seconds, prompts arrive a quarter faster than 5 runners prefill them; callers of
+     * rejected prompts retry once, after the given delay. With admission control, more callers get
+     * their first token in time, among them at least 9 of 10 urgent ones.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void moreCallersAreServedInTimeInAWaveOfLoad(long seed) {
-        Wave without = new Wave(seed, false);
-        Wave with = new Wave(seed, true);
-        without.play();
-        with.play();
-        assertThat(with.inTime).isAtLeast((int) (without.inTime * 1.3));
-        assertThat(with.urgentInTime).isAtLeast((int) (with.urgent * 0.9));
-        assertThat(with.lost).isAtMost(with.asked / 5);
+    void moreCallersAreServedInTimeDuringOverload(long seed) {
+        Overload uncontrolled = new Overload(seed, false);
+        Overload controlled = new Overload(seed, true);
+        uncontrolled.run();
+        controlled.run();
+        assertThat(controlled.inTime).isAtLeast((int) (uncontrolled.inTime * 1.3));
+        assertThat(controlled.urgentInTime).isAtLeast((int) (controlled.urgent * 0.9));
+        assertThat(controlled.rejectedTwice).isAtMost(controlled.arrived / 5);
     }
 
-    /** Prompts that come to runners, each to the one with the shortest queue. */
-    private static final class Wave {
+    /** Simulates an overload in which each prompt is sent to the runner with the shortest queue. */
+    private static final class Overload {
         private final Random random;
-        private final boolean bounded;
+        private final boolean admissionControlled;
         private final double[] queuedTokens = new double[RUNNERS];
-        private final Deque<Long> returns = new ArrayDeque<>();
-        private int asked;
+        private final Deque<Long> retries = new ArrayDeque<>();
+        private int arrived;
         private int urgent;
         private int inTime;
         private int urgentInTime;
-        private int lost;
+        private int rejectedTwice;
 
-        private Wave(long seed, boolean bounded) {
+        private Overload(long seed, boolean admissionControlled) {
             this.random = new Random(seed);
-            this.bounded = bounded;
+            this.admissionControlled = admissionControlled;
         }
 
-        private void play() {
+        private void run() {
             double longPerMilli = 1.25 * RUNNERS * TOKENS_PER_MILLI / (LONG_TOKENS + SHORT_TOKENS);
-            for (long millis = 0; millis < WAVE_MILLIS; millis++) {
+            for (long millis = 0; millis < OVERLOAD_MILLIS; millis++) {
                 if (random.nextDouble() < longPerMilli) {
-                    asked++;
-                    ask(false, false, millis);
+                    arrived++;
+                    send(false, false, millis);
                 }
                 if (random.nextDouble() < longPerMilli) {
-                    asked++;
+                    arrived++;
                     urgent++;
-                    ask(true, false, millis);
+                    send(true, false, millis);
                 }
-                while (!returns.isEmpty() && returns.peekFirst() <= millis) {
-                    returns.pollFirst();
-                    ask(false, true, millis);
+                while (!retries.isEmpty() && retries.peekFirst() <= millis) {
+                    retries.pollFirst();
+                    send(false, true, millis);
                 }
                 for (int runner = 0; runner < RUNNERS; runner++) {
                     queuedTokens[runner] = Math.max(0, queuedTokens[runner] - TOKENS_PER_MILLI);
@@ -94,19 +94,19 @@
             }
         }
 
-        private void ask(boolean isUrgent, boolean again, long millis) {
-            int runner = shortest();
+        private void send(boolean isUrgent, boolean isRetry, long millis) {
+            int runner = shortestQueue();
             double waitMillis = queuedTokens[runner] / TOKENS_PER_MILLI;
-            OptionalLong back =
-                    bounded
+            OptionalLong retryMillis =
+                    admissionControlled
                             ? PromptAdmission.retryAfterMillis(
                                     isUrgent,
                                     LONG_GOAL_MILLIS,
                                     waitMillis * 1e6,
                                     random.nextDouble())
                             : OptionalLong.empty();
-            if (back.isPresent()) {
-                turnAway(again, millis + back.getAsLong());
+            if (retryMillis.isPresent()) {
+                reject(isRetry, millis + retryMillis.getAsLong());
                 return;
             }
             int tokens = isUrgent ? SHORT_TOKENS : LONG_TOKENS;
@@ -115,23 +115,23 @@
             if (isUrgent && firstMillis <= SHORT_GOAL_MILLIS) {
                 urgentInTime++;
                 inTime++;
-            } else if (!isUrgent && !again && firstMillis <= LONG_GOAL_MILLIS) {
+            } else if (!isUrgent && !isRetry && firstMillis <= LONG_GOAL_MILLIS) {
                 inTime++;
             }
         }
 
-        private void turnAway(boolean again, long returnMillis) {
-            if (again) {
-                lost++;
+        private void reject(boolean isRetry, long retryAtMillis) {
+            if (isRetry) {
+                rejectedTwice++;
             } else {
-                returns.addLast(returnMillis);
+                retries.addLast(retryAtMillis);
             }
         }
 
-        private int shortest() {
-            double least = Arrays.stream(queuedTokens).min().orElseThrow();
+        private int shortestQueue() {
+            double shortestTokens = Arrays.stream(queuedTokens).min().orElseThrow();
             int runner = 0;
-            while (queuedTokens[runner] != least) {
+            while (queuedTokens[runner] != shortestTokens) {
                 runner++;
             }
             return runner;
--- a/core/src/test/java/org/bronzelug/core/placement/PromptUrgencyTest.java
+++ b/core/src/test/java/org/bronzelug/core/placement/PromptUrgencyTest.java
@@ -12,29 +12,32 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Short urgent prompts miss their goal behind long ones, since all teams have one rank. */
+/**
+ * Guards against short urgent prompts that miss their target time behind long prompts, because all
+ * teams have the same rank.
+ */
 class PromptUrgencyTest {
     private static final OptionalInt TEAM_RANK = OptionalInt.of(1);
-    private static final int PLAY_MILLIS = 20_000;
+    private static final int RUN_MILLIS = 20_000;
     private static final int SHORT_MILLIS = 10;
     private static final int SHORT_GOAL_MILLIS = 500;
     private static final int LONG_MILLIS = 450;
 
     @Property(seed = "9201")
-    void aTeamsRankGoesBeforeEveryRoutesRank(
+    void teamRankTakesPrecedenceOverRouteRank(
             @ForAll @IntRange(max = 2) int first,
             @ForAll @IntRange(max = 2) int second,
             @ForAll @IntRange(max = 9) int firstRoute,
             @ForAll @IntRange(max = 9) int secondRoute) {
-        int one = PromptUrgency.of(OptionalInt.of(first), firstRoute);
-        int other = PromptUrgency.of(OptionalInt.of(second), secondRoute);
+        int firstUrgency = PromptUrgency.of(OptionalInt.of(first), firstRoute);
+        int secondUrgency = PromptUrgency.of(OptionalInt.of(second), secondRoute);
         if (first < second) {
-            assertThat(one).isLessThan(other);
+            assertThat(firstUrgency).isLessThan(secondUrgency);
         }
     }
 
     @Property(seed = "9202")
-    void staysWithinTheRangeThatRunnersTake(@ForAll int team, @ForAll int route) {
+    void staysWithinTheRangeThatRunnersAccept(@ForAll int team, @ForAll int route) {
         for (OptionalInt rank : new OptionalInt[] {OptionalInt.empty(), OptionalInt.of(team)}) {
             assertThat(PromptUrgency.of(rank, route)).isAtLeast(PromptUrgency.FIRST);
             assertThat(PromptUrgency.of(rank, route)).isAtMost(PromptUrgency.LAST);
@@ -42,30 +45,31 @@
     }
 
     /**
-     * One runner reads long prompts for two thirds of its time and short ones for a quarter. By
-     * urgency nine tenths of the short ones begin in time; by the team's rank alone, fewer.
+     * A runner prefills long prompts for two thirds of its time and short ones for a quarter. With
+     * the routes' ranks, 9 of 10 short prompts must begin in time; with the team's rank alone,
+     * fewer do.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void shortUrgentPromptsBeginInTimeBesideLongOnes(long seed) {
-        double byTeam = shareInTime(seed, 0, 0);
-        double byRoute = shareInTime(seed, 0, 1);
+        double byTeam = fractionInTime(seed, 0, 0);
+        double byRoute = fractionInTime(seed, 0, 1);
         assertThat(byRoute).isAtLeast(0.9);
         assertThat(byTeam).isLessThan(byRoute);
     }
 
-    private static double shareInTime(long seed, int shortRoute, int longRoute) {
+    private static double fractionInTime(long seed, int shortRoute, int longRoute) {
         Random random = new Random(seed);
         PriorityQueue<Waiting> waiting =
                 new PriorityQueue<>(
                         Comparator.comparingInt(Waiting::urgency)
                                 .thenComparingInt(Waiting::arrived));
-        int shorts = 0;
+        int shortPrompts = 0;
         int inTime = 0;
         int busyUntil = 0;
-        for (int now = 0; now < PLAY_MILLIS; now++) {
+        for (int now = 0; now < RUN_MILLIS; now++) {
             if (random.nextDouble() < 0.025) {
-                shorts++;
+                shortPrompts++;
                 waiting.add(
                         new Waiting(PromptUrgency.of(TEAM_RANK, shortRoute), now, SHORT_MILLIS));
             }
@@ -79,7 +83,7 @@
                 inTime += isShort && now - next.arrived < SHORT_GOAL_MILLIS ? 1 : 0;
             }
         }
-        return (double) inTime / shorts;
+        return (double) inTime / shortPrompts;
     }
 
     private record Waiting(int urgency, int arrived, int millis) {}
