--- a/core/src/main/java/org/bronzelug/core/limit/Admission.java
+++ b/core/src/main/java/org/bronzelug/core/limit/Admission.java
@@ -1,21 +1,22 @@
 package org.bronzelug.core.limit;
 
-/** The answer of a team's rate to one request. Immutable. */
+/** The result of reserving tokens of a team's rate for one request. Immutable. */
 public sealed interface Admission {
     /** The tokens are reserved and must be settled. */
     record Granted() implements Admission {}
 
     /**
-     * The team is beyond its rate.
+     * The team has exceeded its rate.
      *
-     * @param retryAfterNanos when the amount will be there; negative: never, it exceeds the burst
+     * @param retryAfterNanos time until the amount is available; negative if it never will be,
+     *     since it exceeds the burst
      */
     record OverRate(long retryAfterNanos) implements Admission {}
 
     /**
-     * This VM does not hold the team's rate now; nobody may, while a claim moves.
+     * This VM does not hold the team's rate. While a claim moves between VMs, no VM may hold it.
      *
-     * @param retryAfterNanos when the claim should have moved
+     * @param retryAfterNanos time after which the claim should have moved
      */
     record NotHeld(long retryAfterNanos) implements Admission {}
 }
--- a/core/src/main/java/org/bronzelug/core/limit/AdvertisedLimit.java
+++ b/core/src/main/java/org/bronzelug/core/limit/AdvertisedLimit.java
@@ -1,21 +1,21 @@
 package org.bronzelug.core.limit;
 
-/** What an answer says of the rate at which its endpoint takes requests. Immutable. */
+/** The request rate limit that a response advertises for its endpoint. Immutable. */
 public sealed interface AdvertisedLimit {
-    /** The endpoint names no limit: one that it named before has ended. */
+    /** The endpoint advertises no limit; a limit that it advertised before has ended. */
     record None() implements AdvertisedLimit {}
 
     /**
-     * The endpoint takes so many requests from all VMs together.
+     * The endpoint limits the rate of the requests of all VMs together.
      *
      * @param requestsPerSecond 0 or more, finite
      */
     record Rate(double requestsPerSecond) implements AdvertisedLimit {}
 
     /**
-     * The answer names no usable limit: what was known before holds on.
+     * The limit in the response is malformed; the previous limit stays in force.
      *
-     * @param text as it was named
+     * @param text the limit as received
      */
     record Malformed(String text) implements AdvertisedLimit {}
 }
--- a/core/src/main/java/org/bronzelug/core/limit/EndpointLimit.java
+++ b/core/src/main/java/org/bronzelug/core/limit/EndpointLimit.java
@@ -4,34 +4,39 @@
 import java.util.Deque;
 
 /**
- * One VM's view of the limit that one start of an endpoint has named on the requests of all VMs.
+ * One VM's view of the request rate limit that an endpoint advertises for all VMs together. The
+ * object covers one start of the endpoint; a restarted endpoint gets a new object.
  *
- * <p>Answers an overloaded endpoint: it gets what it named, and the rest goes elsewhere. All VMs
- * draw on one {@link FleetBucket} without asking each other. The limit lasts until a later answer,
- * to any VM, names another one or none; silence does not end it, since where nothing is sent
- * nothing is answered.
+ * <p>The limit protects an overloaded endpoint: it receives requests at the advertised rate, and
+ * the remaining requests are sent to other endpoints. All VMs draw on one {@link FleetBucket},
+ * without a message for each request. The limit stays in force until a later response, to any VM,
+ * advertises another limit or none. It does not expire without responses, since an endpoint that is
+ * sent no requests sends no responses.
  *
- * <p>Invariant: of the observations of all VMs the latest holds. Not thread-safe: guarded by its
- * owner. Times are the local monotonic clock's nanoseconds.
+ * <p>Invariant: the limit in force is the latest that this VM or a peer has observed and reported;
+ * older observations are ignored. Not thread-safe: guarded by its owner. Times are the local
+ * monotonic clock's nanoseconds.
  */
 public final class EndpointLimit {
-    /** The bucket counts whole amounts; the limit of an endpoint is a few requests. */
-    private static final long REQUEST = 1_000;
+    /**
+     * Bucket units per request. The bucket counts in whole units, but a limit may be fractional.
+     */
+    private static final long UNITS_PER_REQUEST = 1_000;
 
     /**
-     * Least requests a second. An endpoint that takes nothing is sent a request now and then, or
-     * its limit would never be seen to end.
+     * Minimum rate in requests per second. An endpoint that advertises a rate of 0 still gets a
+     * request now and then, since otherwise no response could end the limit.
      */
-    private static final double LEAST_RATE = 0.1;
+    private static final double MINIMUM_RATE = 0.1;
 
-    /** Requests that may follow each other at once, besides those of one second. */
-    private static final double LEAST_BURST = 1;
+    /** Requests that may be sent at once in addition to the requests of one second. */
+    private static final double MINIMUM_BURST = 1;
 
-    /** Sizes of the latest requests by which the larger ones are told. */
+    /** Number of recent request sizes from which the minimum admitted size is computed. */
     private static final int MAXIMUM_SIZES = 64;
 
-    /** A bucket that is fuller than this is about to lose what accrues. */
-    private static final double UNUSED_PART = 0.9;
+    /** A bucket filled above this fraction of its burst is about to lose what accrues. */
+    private static final double UNUSED_FRACTION = 0.9;
 
     private static final AdvertisedLimit NONE = new AdvertisedLimit.None();
 
@@ -43,38 +48,44 @@
 
     public EndpointLimit(long nowNanos) {
         this.observedNanos = nowNanos;
-        this.bucket = new FleetBucket(LEAST_RATE * REQUEST, LEAST_BURST * REQUEST, 0, nowNanos);
+        this.bucket =
+                new FleetBucket(
+                        MINIMUM_RATE * UNITS_PER_REQUEST,
+                        MINIMUM_BURST * UNITS_PER_REQUEST,
+                        0,
+                        nowNanos);
     }
 
     /**
-     * Takes in what an answer named, to this VM or to a peer.
+     * Records the limit that a response to this VM or to a peer advertised.
      *
-     * @param seenNanos when the answer came
-     * @return whether the limit is another one now
+     * @param seenNanos when the response arrived
+     * @return whether the limit has changed
      */
-    public boolean observe(AdvertisedLimit named, long seenNanos, long nowNanos) {
-        if (seenNanos < observedNanos || named instanceof AdvertisedLimit.Malformed) {
+    public boolean observe(AdvertisedLimit advertised, long seenNanos, long nowNanos) {
+        if (seenNanos < observedNanos || advertised instanceof AdvertisedLimit.Malformed) {
             return false;
         }
         observedNanos = seenNanos;
-        if (named.equals(limit)) {
+        if (advertised.equals(limit)) {
             return false;
         }
-        if (named instanceof AdvertisedLimit.Rate rate) {
-            begin(rate.requestsPerSecond(), nowNanos);
+        if (advertised instanceof AdvertisedLimit.Rate rate) {
+            restartBucket(rate.requestsPerSecond(), nowNanos);
         }
-        limit = named;
+        limit = advertised;
         return true;
     }
 
     /**
-     * A limit that is named anew begins with an empty bucket, since the endpoint has work enough.
-     * One that changes keeps what is left, and one that falls a debt of as many seconds as before.
+     * Restarts the bucket at a new rate. Without a previous limit the bucket starts empty, since
+     * the endpoint already has enough work. With one the bucket keeps its level; if the rate falls,
+     * the level is scaled down with it, so that a debt takes as many seconds to refill as before.
      */
-    private void begin(double requestsPerSecond, long nowNanos) {
-        double rate = Math.max(LEAST_RATE, requestsPerSecond) * REQUEST;
+    private void restartBucket(double requestsPerSecond, long nowNanos) {
+        double rate = Math.max(MINIMUM_RATE, requestsPerSecond) * UNITS_PER_REQUEST;
         double level = isNamed() ? bucket.level(nowNanos) * Math.min(1, rate / bucket.rate()) : 0;
-        bucket.restart(rate, LEAST_BURST * REQUEST + rate, level, nowNanos);
+        bucket.restart(rate, MINIMUM_BURST * UNITS_PER_REQUEST + rate, level, nowNanos);
     }
 
     public boolean isNamed() {
@@ -85,20 +96,20 @@
         return limit;
     }
 
-    /** When the answer came that named the limit, or none. */
+    /** Returns when the response arrived that advertised the current limit, or none. */
     public long observedNanos() {
         return observedNanos;
     }
 
     /**
-     * Takes one request out of what the endpoint takes; always possible without a limit.
+     * Takes one request from the bucket; always succeeds without a limit.
      *
-     * <p>The limit counts requests of any size, so where smaller ones can go elsewhere the larger
-     * ones are let in: as many as the endpoint takes of those that would go there.
+     * <p>The limit counts requests regardless of their size. If the demand exceeds the limit and
+     * small requests can be sent elsewhere, the limit is therefore left to the largest requests.
      *
-     * @param size of the request, in any unit that the requests of the endpoint share
-     * @param elsewhere whether an endpoint without a limit can take it
-     * @param draw uniform in [0, 1)
+     * @param size size of the request, in any unit that all requests of the endpoint share
+     * @param elsewhere whether an endpoint without a limit can serve the request
+     * @param draw random number, uniform in [0, 1)
      */
     public boolean tryAcquire(long size, boolean elsewhere, double draw, long nowNanos) {
         if (!isNamed()) {
@@ -108,61 +119,65 @@
         if (sizes.size() > MAXIMUM_SIZES) {
             sizes.removeFirst();
         }
-        if (elsewhere && size < leastSize(nowNanos)) {
-            bucket.offer(REQUEST, nowNanos);
+        if (elsewhere && size < minimumSize(nowNanos)) {
+            bucket.offer(UNITS_PER_REQUEST, nowNanos);
             return false;
         }
-        return bucket.tryAcquire(REQUEST, draw, nowNanos);
+        return bucket.tryAcquire(UNITS_PER_REQUEST, draw, nowNanos);
     }
 
-    /** The size from which requests are let in; 0 while the endpoint takes more than it is sent. */
-    private long leastSize(long nowNanos) {
+    /**
+     * Returns the minimum size of admitted requests: the quantile of the recent sizes above which
+     * the demand equals the limit; 0 while the demand is below the limit.
+     */
+    private long minimumSize(long nowNanos) {
         double demand = bucket.demandRate(nowNanos);
-        boolean unused = bucket.level(nowNanos) > UNUSED_PART * bucket.burst();
-        if (unused || demand <= bucket.rate()) {
+        boolean isAlmostFull = bucket.level(nowNanos) > UNUSED_FRACTION * bucket.burst();
+        if (isAlmostFull || demand <= bucket.rate()) {
             return 0;
         }
         long[] sorted = sizes.stream().mapToLong(Long::longValue).sorted().toArray();
         return sorted[(int) ((1 - bucket.rate() / demand) * (sorted.length - 1))];
     }
 
-    /** A request that was taken did not reach the endpoint. */
+    /** Returns an acquired request to the bucket, since it did not reach the endpoint. */
     public void refund(long nowNanos) {
         if (isNamed()) {
-            bucket.refund(REQUEST, nowNanos);
+            bucket.refund(UNITS_PER_REQUEST, nowNanos);
         }
     }
 
     /**
-     * How long until the endpoint takes one more request.
+     * Returns the time until one more request may be sent to the endpoint.
      *
-     * @param draw uniform in [0, 1), so that callers come back apart
+     * @param draw random number, uniform in [0, 1), that spreads the retries of callers
      */
     public long nanosUntil(double draw, long nowNanos) {
-        return isNamed() ? bucket.nanosUntil(REQUEST, draw, nowNanos) : 0;
+        return isNamed() ? bucket.nanosUntil(UNITS_PER_REQUEST, draw, nowNanos) : 0;
     }
 
-    /** Requests that could be sent at once, less than 0 where too many were. */
+    /** Returns how many requests could be sent at once; negative if too many have been sent. */
     public double level(long nowNanos) {
-        return bucket.level(nowNanos) / REQUEST;
+        return bucket.level(nowNanos) / UNITS_PER_REQUEST;
     }
 
-    /** What this VM tells its peers of its requests. */
+    /** Returns this VM's usage, for publication to its peers. */
     public Count count(long nowNanos) {
         return new Count(bucket.admitted(), bucket.offered(), (long) bucket.level(nowNanos));
     }
 
-    /** Whether this VM has sent requests since this was asked last. */
+    /** Returns whether this VM has sent requests since the previous call of this method. */
     public boolean hasUsageChanged() {
-        long before = reportedAdmitted;
+        long previous = reportedAdmitted;
         reportedAdmitted = bucket.admitted();
-        return before != reportedAdmitted;
+        return previous != reportedAdmitted;
     }
 
-    /** Takes in what a peer tells of its requests. */
+    /** Records the usage that a peer has published. */
     public void recordPeer(String vm, String incarnation, Count count, long nowNanos) {
         if (isNamed()) {
-            // A peer may have counted long before this VM heard of the limit, however long it runs.
+            // Not started together: whichever VM started first, the peer may have counted requests
+            // long before this VM learned of the limit.
             bucket.recordPeer(
                     new PeerBucketUsage(
                             vm,
@@ -175,18 +190,20 @@
         }
     }
 
-    /** The part of the fleet's VMs that is heard, and how long a count travels. */
+    /**
+     * Sets the fraction of the fleet's VMs that is reachable, and the propagation delay of usage.
+     */
     public void setFleet(double reachableFraction, long propagationDelayNanos) {
         bucket.setReachableFraction(reachableFraction);
         bucket.setPropagationDelay(propagationDelayNanos);
     }
 
     /**
-     * Requests of one VM since it first heard of the limit, in thousandths. Immutable.
+     * Usage of one VM since it first learned of the limit, in thousandths of a request. Immutable.
      *
-     * @param admitted sent
-     * @param offered that would have been sent without the limit
-     * @param level what is left, as the VM reckons
+     * @param admitted requests sent
+     * @param offered requests that would have been sent without the limit
+     * @param level level of the bucket as computed by the VM
      */
     public record Count(long admitted, long offered, long level) {}
 }
--- a/core/src/main/java/org/bronzelug/core/limit/FleetBucket.java
+++ b/core/src/main/java/org/bronzelug/core/limit/FleetBucket.java
@@ -4,27 +4,35 @@
 import java.util.Map;
 
 /**
- * One VM's view of a team's token bucket that all VMs draw on without asking each other.
+ * One VM's copy of a token bucket that all VMs draw on, without a message for each request. The
+ * bucket holds a team's tokens or the requests that a limited endpoint accepts.
  *
- * <p>Answers a team at several times its rate, spread over all VMs. Each VM counts what it admits,
- * tells the others, and subtracts what they tell. What the fleet admits while counts travel is
- * bounded by admitting a random part of the requests, so that the part that is expected to be
- * admitted unheard is what the bucket holds. A VM that is silent may go on admitting; while it is,
- * its equal part of the rate is set aside for it, and a VM that hears nobody is left with its own
- * part.
+ * <p>Each VM counts what it admits, publishes this usage to its peers, and subtracts both its own
+ * and its peers' usage from the bucket. Without this, a team that sends several times its rate
+ * through all VMs would get its whole rate on each of them.
  *
- * <p>Invariant: the level is a function of the usage known of the last {@link #WINDOW_NANOS}, so
- * VMs that know the same usage have the same level. Not thread-safe: guarded by its owner. Amounts
- * are tokens, times the local monotonic clock's nanoseconds.
+ * <p>The peers' usage arrives with a propagation delay. What the VMs admit beyond the bucket's
+ * level during that delay is bounded by admitting requests at random: the fraction admitted is such
+ * that the amount that peers are expected to admit within the delay is at most what the bucket
+ * holds plus a fraction of what accrues meanwhile.
+ *
+ * <p>An unreachable VM may still admit requests. Each VM therefore uses only the fraction of rate
+ * and burst that equals the fraction of VMs that it can reach, itself included; a VM that reaches
+ * no peer is left with its own equal fraction.
+ *
+ * <p>Invariant: the level is a function of the usage known for the last {@link #WINDOW_NANOS}, so
+ * VMs that know the same usage have the same level, in whatever order they received it. Not
+ * thread-safe: guarded by its owner. Amounts are tokens, times the local monotonic clock's
+ * nanoseconds.
  */
 public final class FleetBucket {
-    /** Longer than the windows over which the users check a rate. */
+    /** Longer than the windows over which compliance with a rate is checked. */
     private static final long WINDOW_NANOS = 10_000_000_000L;
 
-    /** The part of what accrues while a count travels that may be admitted beforehand. */
-    private static final double ACCRUING_PART = 0.5;
+    /** Fraction of what accrues during the propagation delay that may be admitted in advance. */
+    private static final double ACCRUING_FRACTION = 0.5;
 
-    /** Over which the demand is averaged. */
+    /** Period over which the demand is averaged. */
     private static final long DEMAND_NANOS = 1_000_000_000L;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -42,8 +50,8 @@
 
     /**
      * @param rate tokens per second over all VMs
-     * @param burst the most that the bucket holds
-     * @param level what it holds at first
+     * @param burst maximum level of the bucket
+     * @param level initial level
      */
     public FleetBucket(double rate, double burst, double level, long nowNanos) {
         this.rate = rate;
@@ -56,37 +64,38 @@
     /**
      * Takes the whole amount or nothing.
      *
-     * @param draw uniform in [0, 1): decides where only a part of the requests is admitted
+     * @param draw random number, uniform in [0, 1), that decides the admission when only a fraction
+     *     of the requests is admitted
      */
     public boolean tryAcquire(long amount, double draw, long nowNanos) {
         offer(amount, nowNanos);
         double level = level(nowNanos);
-        if (level < amount || draw >= admittedPart(level, nowNanos)) {
+        if (level < amount || draw >= admittedFraction(level, nowNanos)) {
             return false;
         }
         charge(amount, nowNanos);
         return true;
     }
 
-    /** Counts what is asked for, admitted or not. */
+    /** Records an amount as demand, whether or not it is admitted. */
     public void offer(long amount, long nowNanos) {
         offered += amount;
         ownDemand.add(amount, reachableFraction, nowNanos);
     }
 
-    /** What all VMs that are heard are asked for in a second. */
+    /** Returns the demand of this VM and its reachable peers, per second. */
     public double demandRate(long nowNanos) {
         return demandRate(ownDemand, nowNanos) + demandRate(peerDemand, nowNanos);
     }
 
     /**
-     * The part of the requests that is admitted: what the bucket holds, of what is expected to be
-     * asked of the peers until their counts arrive.
+     * Returns the fraction of the requests to admit: what the bucket holds, divided by the peers'
+     * expected demand until their usage arrives.
      */
-    private double admittedPart(double level, long nowNanos) {
+    private double admittedFraction(double level, long nowNanos) {
         double delaySeconds = propagationDelayNanos / NANOS_PER_SECOND;
         double expected = demandRate(peerDemand, nowNanos) * delaySeconds;
-        double available = level + ACCRUING_PART * rate * reachableFraction * delaySeconds;
+        double available = level + ACCRUING_FRACTION * rate * reachableFraction * delaySeconds;
         return expected <= available ? 1 : available / expected;
     }
 
@@ -94,97 +103,100 @@
         return demand.sum(DEMAND_NANOS, nowNanos) * NANOS_PER_SECOND / DEMAND_NANOS;
     }
 
-    /** Takes the amount in any case: it is run already. */
+    /** Takes the amount even if the bucket holds less, since the work has already been started. */
     public void charge(long amount, long nowNanos) {
         usage.add(amount, reachableFraction, nowNanos);
         admitted += amount;
     }
 
-    /** Gives back what was taken for a request that did not run. */
+    /** Returns an amount to the bucket that was taken for a request that did not run. */
     public void refund(long amount, long nowNanos) {
         usage.add(-amount, reachableFraction, nowNanos);
         admitted -= amount;
     }
 
     /**
-     * When a request that was refused may be admitted: once the amount has accrued, and at a random
-     * moment of the time in which the present demand would be served.
+     * Returns the delay after which a rejected request should be retried: the time until the amount
+     * has accrued, plus a random part of the time in which the current excess demand would be
+     * served.
      *
-     * <p>The failure that the random part prevents: all refused callers return at one moment, and
-     * each VM admits them before it hears the others.
+     * <p>Without the random part, all rejected callers would retry at the same moment, and each VM
+     * would admit them before it receives the usage of its peers.
      *
-     * @param draw uniform in [0, 1)
+     * @param draw random number, uniform in [0, 1)
      */
     public long nanosUntil(long amount, double draw, long nowNanos) {
-        double accruing = Math.max(1, rate * reachableFraction);
+        double accrualRate = Math.max(1, rate * reachableFraction);
         double missing = Math.max(0, Math.min(amount, burst) - level(nowNanos));
-        double others = demandRate(peerDemand, nowNanos);
-        double excess = Math.max(0, (demandRate(ownDemand, nowNanos) + others) / accruing - 1);
-        double spread = draw * Math.min(excess, others / accruing) * propagationDelayNanos;
-        return (long) (missing / accruing * NANOS_PER_SECOND + spread);
+        double peerRate = demandRate(peerDemand, nowNanos);
+        double excess = Math.max(0, (demandRate(ownDemand, nowNanos) + peerRate) / accrualRate - 1);
+        double spread = draw * Math.min(excess, peerRate / accrualRate) * propagationDelayNanos;
+        return (long) (missing / accrualRate * NANOS_PER_SECOND + spread);
     }
 
     /**
-     * Takes in what an incarnation of a peer has admitted since it started.
+     * Records the usage that an incarnation of a peer has reported since its start.
      *
-     * <p>At the first report of a peer that has run for longer, what it admitted before is in its
-     * own level: this VM's falls to that, since a VM that has just started does not know what was
-     * admitted before. A peer that started with this VM knows no more than this one, so all that it
-     * has admitted is subtracted. The failure this prevents: all VMs restart while a team floods,
-     * each admits its part of a burst before it hears the others, and nobody pays for it.
+     * <p>The first report of a peer that has run for longer than this VM lowers this VM's level to
+     * the peer's, which accounts for usage from before this VM's start. The first report of a peer
+     * that started together with this VM, or of a new incarnation of a known peer, is subtracted in
+     * full, and a later report by its increase. Without the full subtraction, when all VMs restart
+     * while a team exceeds its rate, each would admit its fraction of a burst before it receives
+     * the usage of its peers, and that usage would never be subtracted.
      */
-    public void recordPeer(PeerBucketUsage count, long nowNanos) {
-        PeerBucketUsage before = peers.put(count.vm(), count);
-        boolean same = before != null && before.incarnation().equals(count.incarnation());
-        if (before == null && !count.startedTogether()) {
-            double above = level(nowNanos) - count.level();
-            if (above > 0) {
-                usage.add(above, reachableFraction, nowNanos);
+    public void recordPeer(PeerBucketUsage report, long nowNanos) {
+        PeerBucketUsage previous = peers.put(report.vm(), report);
+        boolean isSameIncarnation =
+                previous != null && previous.incarnation().equals(report.incarnation());
+        if (previous == null && !report.startedTogether()) {
+            double excessLevel = level(nowNanos) - report.level();
+            if (excessLevel > 0) {
+                usage.add(excessLevel, reachableFraction, nowNanos);
             }
             return;
         }
-        if (same) {
+        if (isSameIncarnation) {
             long usedNanos = nowNanos - propagationDelayNanos / 2;
-            usage.add(count.admitted() - before.admitted(), reachableFraction, usedNanos);
-            peerDemand.add(count.offered() - before.offered(), reachableFraction, usedNanos);
+            usage.add(report.admitted() - previous.admitted(), reachableFraction, usedNanos);
+            peerDemand.add(report.offered() - previous.offered(), reachableFraction, usedNanos);
         } else {
-            usage.add(count.admitted(), reachableFraction, nowNanos);
-            peerDemand.add(count.offered(), reachableFraction, nowNanos);
+            usage.add(report.admitted(), reachableFraction, nowNanos);
+            peerDemand.add(report.offered(), reachableFraction, nowNanos);
         }
     }
 
     /**
-     * The part of the VMs that are heard, this one included. The same part of the bucket's size and
-     * of what accrues is left.
+     * Sets the fraction of the VMs that is reachable, this VM included. The bucket uses the same
+     * fraction of its rate and burst.
      *
-     * <p>The failure this prevents: the fleet is cut in two with a full bucket on both sides, and
-     * the burst is spent twice.
+     * <p>Without this, when the fleet is partitioned while the bucket is full, both sides would
+     * spend the burst.
      */
-    public void setReachableFraction(double part) {
-        if (part > reachableFraction) {
-            usage.raiseParts(part);
+    public void setReachableFraction(double fraction) {
+        if (fraction > reachableFraction) {
+            usage.raiseReachableFractions(fraction);
         }
-        reachableFraction = part;
+        reachableFraction = fraction;
     }
 
-    /** How long a count travels until all VMs know it. */
+    /** Sets the time until all VMs know the usage that a VM has published. */
     public void setPropagationDelay(long nanos) {
         propagationDelayNanos = nanos;
     }
 
-    /** Changes the rate and burst from now on. */
+    /** Changes the rate and burst; usage so far still counts. */
     public void change(double newRate, double newBurst) {
         rate = newRate;
         burst = newBurst;
     }
 
     /**
-     * Changes the rate and burst, and forgets what was used before.
+     * Changes the rate and burst, and discards the usage so far.
      *
-     * <p>The failure this prevents: the rate falls, what was used at the higher one counts against
-     * it for the whole window, and nothing is admitted for seconds.
+     * <p>Without this, after the rate falls, usage at the higher rate would count against the lower
+     * one for the whole window, and nothing would be admitted for seconds.
      *
-     * @param level what the bucket holds now
+     * @param level the level from now on
      */
     public void restart(double newRate, double newBurst, double level, long nowNanos) {
         rate = newRate;
@@ -196,22 +208,22 @@
         }
     }
 
-    /** Tokens admitted since the start, net of what was given back. */
+    /** Returns the tokens admitted since the start, less refunds. */
     public long admitted() {
         return admitted;
     }
 
-    /** Tokens asked for since the start, admitted or not. */
+    /** Returns the tokens demanded since the start, whether or not admitted. */
     public long offered() {
         return offered;
     }
 
-    /** What accrues in a second. */
+    /** Returns the tokens that accrue per second. */
     public double rate() {
         return rate;
     }
 
-    /** The most that the bucket holds. */
+    /** Returns the maximum level of the bucket. */
     public double burst() {
         return burst;
     }
--- a/core/src/main/java/org/bronzelug/core/limit/PeerBucketUsage.java
+++ b/core/src/main/java/org/bronzelug/core/limit/PeerBucketUsage.java
@@ -1,13 +1,13 @@
 package org.bronzelug.core.limit;
 
 /**
- * What a peer says of one team's bucket. Immutable; amounts are tokens.
+ * The usage of one {@link FleetBucket} that a peer reports. Immutable; amounts are tokens.
  *
  * @param vm the peer
- * @param incarnation of the peer; its counters start at zero with it
- * @param admitted since the incarnation started, net of what was given back
- * @param offered asked for since the incarnation started, admitted or not
- * @param level what is left of the burst, as the peer reckons
+ * @param incarnation the peer's incarnation, with which its counters start at zero
+ * @param admitted tokens admitted since the incarnation started, less refunds
+ * @param offered tokens demanded since the incarnation started, whether or not admitted
+ * @param level level of the bucket as computed by the peer
  * @param startedTogether whether the peer has not run for longer than this VM
  */
 public record PeerBucketUsage(
--- a/core/src/main/java/org/bronzelug/core/limit/RateShares.java
+++ b/core/src/main/java/org/bronzelug/core/limit/RateShares.java
@@ -8,17 +8,25 @@
 import org.bronzelug.core.membership.MemberIdentity;
 
 /**
- * The team rates that this VM holds: whole teams, in groups that move as one claim.
+ * The token buckets of the teams whose rates this VM may admit from.
  *
- * <p>Invariant: a bucket exists only in the VM that may use the group's claim, and a bucket after a
- * take-over starts empty, so that over all VMs no interval sees more than rate * t + burst. Weighed
- * against shares of each team on several VMs: splitting refuses requests which one central bucket
- * would admit, and needs transfers that can get lost (DESIGN.md "Rates").
+ * <p>Teams are hashed into groups. The rates of a group's teams form one share, from which one VM
+ * at a time admits. Which VM holds a share is decided by a claim: exclusive ownership with a
+ * fencing number, without expiry (see {@link ExclusiveClaim}). Its holder may transfer it to a
+ * successor, with the tokens left; another VM may also take ownership without its cooperation.
+ *
+ * <p>Invariant: a bucket exists only on the VM that may use the claim of the team's group, and
+ * after ownership is taken without a transfer it starts empty. Over all VMs, any interval of length
+ * t therefore sees at most {@code rate * t + burst}.
+ *
+ * <p>The alternative, splitting each team's rate among several VMs, would reject requests that one
+ * central bucket would admit, and would need transfers of tokens that can get lost (DESIGN.md
+ * "Rates").
  *
  * <p>Not thread-safe: owned by the control thread.
  */
 public final class RateShares {
-    /** Teams are spread over so many groups; each is one platform object. */
+    /** Number of groups of teams; each group is one platform object. */
     public static final int GROUPS = 64;
 
     private static final LongHashFunction HASH = LongHashFunction.xx3();
@@ -34,7 +42,7 @@
         this.freshnessLimitNanos = freshnessLimitNanos;
     }
 
-    /** The group of a team: the same on every VM. */
+    /** Returns the group of a team, which is the same on every VM. */
     public static int groupOf(String team) {
         return (int) Long.remainderUnsigned(HASH.hashChars(team), GROUPS);
     }
@@ -44,7 +52,7 @@
                 group, ignored -> new ExclusiveClaim(self, freshnessLimitNanos));
     }
 
-    /** Takes in the group's object; a group that moved away loses its buckets here. */
+    /** Records the holder in the group's object; a newer version drops the group's buckets here. */
     public void observe(int group, long version, MemberIdentity holder) {
         ExclusiveClaim claim = claim(group);
         if (version > claim.version()) {
@@ -53,18 +61,18 @@
         claim.observe(version, holder);
     }
 
-    /** Notes that this VM has committed itself as the holder: see {@link ExclusiveClaim#take}. */
+    /** Records that this VM has committed itself as the holder; see {@link ExclusiveClaim#take}. */
     public void take(int group, long version, boolean hadHolder) {
         observe(group, version, self);
         claim(group).take(version, hadHolder);
     }
 
-    /** Notes that a majority knows this VM as the holder. */
+    /** Records that a majority of the VMs knows this VM as the holder. */
     public void confirm(int group, long version, long nowNanos) {
         claim(group).confirm(version, nowNanos);
     }
 
-    /** Asks for tokens of a team whose group this VM may hold. */
+    /** Reserves tokens of a team; granted only if this VM may use the claim of the team's group. */
     public Admission reserve(
             String id, String team, TeamRate rate, double amount, long nowNanos, boolean fresh) {
         int group = groupOf(team);
@@ -77,18 +85,18 @@
                 : new Admission.OverRate(bucket.nanosUntil(amount, nowNanos));
     }
 
-    /** Ends a reservation; harmless where the group has moved away meanwhile. */
+    /** Settles a reservation; has no effect if the group has moved to another VM meanwhile. */
     public void settle(String id, String team, double used, long nowNanos) {
         Optional.ofNullable(buckets.get(team))
                 .ifPresent(bucket -> bucket.settle(id, used, nowNanos));
     }
 
-    /** What this VM holds for a team; empty where another VM does. */
+    /** Returns the available tokens of a team; empty if this VM has no bucket for the team. */
     public Optional<Double> tokens(String team, long nowNanos) {
         return Optional.ofNullable(buckets.get(team)).map(bucket -> bucket.tokens(nowNanos));
     }
 
-    /** Stops using a group, for good, and returns the tokens of its teams for the heir. */
+    /** Stops using a group permanently; returns the tokens left to its teams, for the successor. */
     public Map<String, Double> release(int group, Map<String, TeamRate> rates, long nowNanos) {
         Map<String, Double> levels = new HashMap<>();
         if (claim(group).usableFrom().isPresent()) {
@@ -105,16 +113,16 @@
         return levels;
     }
 
-    /** Starts using a group that the holder of this version has released to this VM. */
+    /** Starts using a group that the holder of this version has transferred to this VM. */
     public void inherit(
             int group,
             long version,
-            MemberIdentity former,
+            MemberIdentity previousHolder,
             Map<String, Double> levels,
             Map<String, TeamRate> rates,
             long nowNanos) {
-        observe(group, version, former);
-        claim(group).inherit(version, former, nowNanos);
+        observe(group, version, previousHolder);
+        claim(group).inherit(version, previousHolder, nowNanos);
         if (claim(group).usableFrom().isEmpty()) {
             return;
         }
@@ -128,12 +136,13 @@
     private TokenBucket bucket(int group, String team, TeamRate rate, long nowNanos) {
         TokenBucket bucket = buckets.get(team);
         if (bucket == null) {
-            // An idle team's tokens accrue from when the claim became usable, not from its first
-            // request after that; otherwise the request is refused although within the rate.
-            // Only the first holder ever starts full: no VM can have used the burst before it.
-            double start = claim(group).isFirstEver() ? rate.burstTokens() : 0;
-            long since = claim(group).usableFrom().orElse(nowNanos);
-            bucket = newBucket(rate, start, since);
+            // An idle team's tokens accrue from when the claim became usable, not from the team's
+            // first request after that; otherwise this request would be rejected although it is
+            // within the rate. Only the first holder ever starts with a full bucket, since no other
+            // VM can have used the burst before.
+            double initialLevel = claim(group).isFirstEver() ? rate.burstTokens() : 0;
+            long startNanos = claim(group).usableFrom().orElse(nowNanos);
+            bucket = newBucket(rate, initialLevel, startNanos);
             buckets.put(team, bucket);
         }
         bucket.change(rate.tokensPerSecond(), rate.burstTokens(), nowNanos);
--- a/core/src/main/java/org/bronzelug/core/limit/TeamRate.java
+++ b/core/src/main/java/org/bronzelug/core/limit/TeamRate.java
@@ -1,9 +1,9 @@
 package org.bronzelug.core.limit;
 
 /**
- * What a team may use across the whole fleet.
+ * A team's token bucket parameters for the whole fleet. Immutable.
  *
- * @param tokensPerSecond metered tokens per second, over time
- * @param burstTokens metered tokens at once
+ * @param tokensPerSecond metered tokens that accrue per second
+ * @param burstTokens metered tokens that may be used at once
  */
 public record TeamRate(double tokensPerSecond, double burstTokens) {}
--- a/core/src/main/java/org/bronzelug/core/limit/TokenBucket.java
+++ b/core/src/main/java/org/bronzelug/core/limit/TokenBucket.java
@@ -4,13 +4,14 @@
 import java.util.Map;
 
 /**
- * One team's token bucket, with reservations that are settled later at the real count.
+ * One team's token bucket, with reservations that are settled later at the amount actually used.
  *
  * <p>Invariant: for every interval of length t, the settled amounts of the reservations made in it
- * are at most {@code rate * t + burst}. A plain refund breaks this: tokens reserved before the
- * bucket was full would come back after it, on top of a full burst. So each open reservation keeps
- * the least room that the bucket had since it was made, and only that much is refunded: just what
- * the bucket would hold, had the real amount been taken from the start.
+ * are at most {@code rate * t + burst}. A plain refund would break this: tokens reserved before the
+ * bucket became full would be returned afterwards, on top of a full burst. Each open reservation
+ * therefore records the minimum room in the bucket (burst minus tokens) since the reservation was
+ * made, and at most that much is refunded. The bucket then holds what it would hold if the actual
+ * amount had been taken at the time of the reservation.
  *
  * <p>Not thread-safe: guarded by its owner. Amounts are metered tokens, times the local monotonic
  * clock's nanoseconds.
@@ -18,7 +19,7 @@
 public final class TokenBucket {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Above rounding in sums of doubles; far below one token. */
+    /** Above rounding errors in sums of doubles; far below one token. */
     private static final double ROUNDING = 1e-6;
 
     private double rate;
@@ -29,9 +30,9 @@
 
     /**
      * @param rate tokens per second
-     * @param burst the most that the bucket holds
-     * @param tokens what it holds at first
-     * @param nowNanos the time it starts
+     * @param burst maximum level of the bucket
+     * @param tokens initial level
+     * @param nowNanos the time from which tokens accrue
      */
     public TokenBucket(double rate, double burst, double tokens, long nowNanos) {
         this.rate = rate;
@@ -40,7 +41,10 @@
         this.lastNanos = nowNanos;
     }
 
-    /** Takes the whole amount or nothing; a repeated id changes nothing and is granted again. */
+    /**
+     * Reserves the whole amount or nothing. The id of an open reservation is granted again without
+     * taking tokens.
+     */
     public boolean reserve(String id, double amount, long nowNanos) {
         if (open.containsKey(id)) {
             return true;
@@ -54,7 +58,7 @@
         return true;
     }
 
-    /** Ends a reservation at the amount really used; an unknown id changes nothing. */
+    /** Settles a reservation at the amount actually used; has no effect for an unknown id. */
     public void settle(String id, double used, long nowNanos) {
         accrue(nowNanos);
         Reservation reservation = open.remove(id);
@@ -62,14 +66,14 @@
             return;
         }
         double unused = Math.max(0, reservation.amount - used);
-        double refund = Math.min(unused, reservation.leastRoom);
+        double refund = Math.min(unused, reservation.minimumRoom);
         tokens += refund;
         for (Reservation other : open.values()) {
-            other.leastRoom = Math.max(0, other.leastRoom - refund);
+            other.minimumRoom = Math.max(0, other.minimumRoom - refund);
         }
     }
 
-    /** Changes the rate and burst from now on; what exceeds a smaller burst is gone. */
+    /** Changes the rate and burst; tokens above a smaller burst are discarded. */
     public void change(double newRate, double newBurst, long nowNanos) {
         accrue(nowNanos);
         double shrink = Math.max(0, burst - newBurst);
@@ -77,11 +81,11 @@
         burst = newBurst;
         tokens = Math.min(tokens, burst);
         for (Reservation reservation : open.values()) {
-            reservation.leastRoom = Math.max(0, reservation.leastRoom - shrink);
+            reservation.minimumRoom = Math.max(0, reservation.minimumRoom - shrink);
         }
     }
 
-    /** How long until the amount is there, if nobody else takes; negative: never. */
+    /** Returns the time until the bucket holds the amount; negative if it never will. */
     public long nanosUntil(double amount, long nowNanos) {
         accrue(nowNanos);
         if (amount > burst || rate <= 0) {
@@ -104,18 +108,18 @@
         tokens = Math.min(burst, tokens + elapsed / NANOS_PER_SECOND * rate);
         double room = burst - tokens;
         for (Reservation reservation : open.values()) {
-            reservation.leastRoom = Math.min(reservation.leastRoom, room);
+            reservation.minimumRoom = Math.min(reservation.minimumRoom, room);
         }
     }
 
-    /** An amount taken but not yet settled, and the least room in the bucket since. */
+    /** An amount taken but not yet settled, and the minimum room in the bucket since then. */
     private static final class Reservation {
         private final double amount;
-        private double leastRoom;
+        private double minimumRoom;
 
-        private Reservation(double amount, double leastRoom) {
+        private Reservation(double amount, double minimumRoom) {
             this.amount = amount;
-            this.leastRoom = leastRoom;
+            this.minimumRoom = minimumRoom;
         }
     }
 }
--- a/core/src/main/java/org/bronzelug/core/limit/UsageHistory.java
+++ b/core/src/main/java/org/bronzelug/core/limit/UsageHistory.java
@@ -4,13 +4,19 @@
 import java.util.List;
 
 /**
- * Amounts by the time at which they became known, for as long as a rate is checked over.
+ * The recent usage of a token bucket, from which its level is computed.
  *
- * <p>Each amount keeps the part of the fleet that was heard when it was recorded: an amount seen
- * while half of the fleet is heard stands for twice as much.
+ * <p>Amounts are summed in slots of 50 ms and kept for a fixed window, which covers the time over
+ * which a rate is checked. No running balance is kept: {@link #level} recomputes the level from all
+ * slots, so amounts may be added late and in any order.
  *
- * <p>Invariant: slots are in the order of time, and none is older than the window. Not thread-safe:
- * guarded by its owner. Times are the local monotonic clock's nanoseconds.
+ * <p>Each slot records the fraction of the fleet that was reachable when its first amount was
+ * added. Each unreachable VM is assumed to use as much as a reachable one, so an amount recorded
+ * while half of the fleet is reachable counts twice.
+ *
+ * <p>Invariant: slots are ordered by time, with at most one slot per 50 ms, and {@link #level} uses
+ * none that is older than the window. Not thread-safe: guarded by its owner. Times are the local
+ * monotonic clock's nanoseconds.
  */
 final class UsageHistory {
     private static final long SLOT_NANOS = 50_000_000L;
@@ -24,23 +30,23 @@
     }
 
     /**
-     * Adds an amount that was used at a time, which may lie before others that are known.
+     * Adds an amount that was used at the given time, which may be before that of earlier calls.
      *
-     * @param part of the fleet that is heard, in (0, 1]
+     * @param reachableFraction fraction of the fleet that is reachable, in (0, 1]
      */
-    void add(double amount, double part, long usedNanos) {
+    void add(double amount, double reachableFraction, long usedNanos) {
         if (amount == 0) {
             return;
         }
         long index = Math.floorDiv(usedNanos, SLOT_NANOS);
-        Slot slot = slot(index, part);
+        Slot slot = slot(index, reachableFraction);
         slot.amount += amount;
         slot.latestNanos = Math.max(slot.latestNanos, usedNanos);
         expire(slots.getLast().index);
     }
 
-    /** The slot of an index; it is made where there is none. */
-    private Slot slot(long index, double part) {
+    /** Returns the slot with the given index, which is created if there is none. */
+    private Slot slot(long index, double reachableFraction) {
         int position = slots.size();
         while (position > 0 && slots.get(position - 1).index > index) {
             position--;
@@ -48,40 +54,47 @@
         if (position > 0 && slots.get(position - 1).index == index) {
             return slots.get(position - 1);
         }
-        Slot added = new Slot(index, part);
-        slots.add(position, added);
-        return added;
+        Slot newSlot = new Slot(index, reachableFraction);
+        slots.add(position, newSlot);
+        return newSlot;
     }
 
     void clear() {
         slots.clear();
     }
 
-    /** A larger part of the fleet is heard, and with it what it used before. */
-    void raiseParts(double part) {
-        slots.forEach(slot -> slot.part = Math.max(slot.part, part));
+    /**
+     * Raises the fraction of all slots to the given one, when more VMs become reachable and report
+     * what they used before.
+     */
+    void raiseReachableFractions(double reachableFraction) {
+        slots.forEach(
+                slot ->
+                        slot.reachableFraction =
+                                Math.max(slot.reachableFraction, reachableFraction));
     }
 
     /**
-     * The level of a token bucket that this usage was taken from: over every window that ends now,
-     * the size and what accrued in it less what was used in it, at the least.
+     * Returns the level of a token bucket from which this usage was taken: the minimum, over all
+     * periods that end now, of the bucket's size plus what accrued in the period minus what was
+     * used in it.
      *
-     * <p>Since the usage of each window is summed anew, reports that arrive late, in another order
+     * <p>Since the usage of each period is summed anew, reports that arrive late, in another order
      * or in larger steps lead to the same level.
      */
     double level(double rate, double size, long nowNanos) {
         expire(Math.floorDiv(nowNanos, SLOT_NANOS));
         double used = 0;
-        double least = size;
+        double minimum = size;
         for (Slot slot : slots.reversed()) {
-            used += slot.amount / slot.part;
+            used += slot.amount / slot.reachableFraction;
             long accruingNanos = Math.max(0, nowNanos - slot.latestNanos);
-            least = Math.min(least, size + rate * accruingNanos / NANOS_PER_SECOND - used);
+            minimum = Math.min(minimum, size + rate * accruingNanos / NANOS_PER_SECOND - used);
         }
-        return least;
+        return minimum;
     }
 
-    /** The sum of the last so many nanoseconds, a slot's length more at most. */
+    /** Returns the sum over the given last nanoseconds, rounded up to whole slots. */
     double sum(long nanos, long nowNanos) {
         long first = Math.floorDiv(nowNanos - nanos, SLOT_NANOS);
         return slots.stream()
@@ -98,14 +111,14 @@
 
     private static final class Slot {
         private final long index;
-        private double part;
+        private double reachableFraction;
         private double amount;
         private long latestNanos;
 
-        private Slot(long index, double part) {
+        private Slot(long index, double reachableFraction) {
             this.index = index;
             this.latestNanos = index * SLOT_NANOS;
-            this.part = part;
+            this.reachableFraction = reachableFraction;
         }
     }
 }
--- a/core/src/main/java/org/bronzelug/core/limit/package-info.java
+++ b/core/src/main/java/org/bronzelug/core/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Each team's rate and burst across all VMs (DESIGN.md "Rates"). */
+/** Rate limits of teams and endpoints across all VMs (DESIGN.md "Rates"). */
 package org.bronzelug.core.limit;
--- a/core/src/test/java/org/bronzelug/core/limit/EndpointLimitTest.java
+++ b/core/src/test/java/org/bronzelug/core/limit/EndpointLimitTest.java
@@ -11,16 +11,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** An overloaded endpoint is flooded by a fleet, or starved by it. */
+/**
+ * Guards against a fleet that sends an endpoint more requests than the limit that it advertises, or
+ * hardly any.
+ */
 class EndpointLimitTest {
     private static final long WINDOW_MILLIS = 4_000;
 
-    /** After an endpoint has first named a limit, VMs may not know it for this long. */
+    /** Time after a limit is first advertised during which some VMs may not know it. */
     private static final long LEARNING_MILLIS = 3_000;
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    /** One and a half times what the limit allows in the window, and five requests. */
+    /** One and a half times the limit's requests in the window, plus 5 requests. */
     private static double allowed(double requestsPerSecond) {
         return 1.5 * requestsPerSecond * WINDOW_MILLIS / 1_000 + 5;
     }
@@ -29,7 +32,7 @@
         return new AdvertisedLimit.Rate(requestsPerSecond);
     }
 
-    /** VMs are replaced and reports lost; the endpoint still gets no more than it named. */
+    /** Holds although VMs are replaced and reports between VMs are lost. */
     @Property(seed = "31", tries = 80)
     void allVmsTogetherStayWithinTheLimit(
             @ForAll @IntRange(min = 2, max = 95) int vms,
@@ -39,100 +42,100 @@
             @ForAll long seed) {
         LimitedFleet fleet = new LimitedFleet(vms, lostPercent, seed);
         double demand = Math.max(2, limit * excess);
-        fleet.play(2_000, demand);
-        fleet.name(rate(limit));
-        fleet.play(9_000, demand);
+        fleet.run(2_000, demand);
+        fleet.advertise(rate(limit));
+        fleet.run(9_000, demand);
         fleet.replaceVm((int) Math.floorMod(seed, (long) vms));
-        fleet.play(20_000, demand);
-        assertThat((double) fleet.mostInWindow(2_000 + LEARNING_MILLIS, 20_000, WINDOW_MILLIS))
+        fleet.run(20_000, demand);
+        assertThat((double) fleet.maximumInWindow(2_000 + LEARNING_MILLIS, 20_000, WINDOW_MILLIS))
                 .isAtMost(allowed(limit));
     }
 
-    /** Another start of the endpoint names another limit; nothing of the first one is kept. */
+    /** No usage or limit of the previous start of the endpoint must remain. */
     @Property(seed = "32", tries = 40)
-    void anotherStartOfTheEndpointIsHeldToItsOwnLimit(
+    void restartedEndpointGetsNoMoreThanItsNewLimit(
             @ForAll @IntRange(min = 2, max = 95) int vms,
-            @ForAll @DoubleRange(min = 0, max = 12) double first,
-            @ForAll @DoubleRange(min = 0, max = 12) double second,
+            @ForAll @DoubleRange(min = 0, max = 12) double firstLimit,
+            @ForAll @DoubleRange(min = 0, max = 12) double secondLimit,
             @ForAll @IntRange(min = 0, max = 30) int lostPercent,
             @ForAll long seed) {
         LimitedFleet fleet = new LimitedFleet(vms, lostPercent, seed);
-        double demand = 2 + 4 * Math.max(first, second);
-        fleet.name(rate(first));
-        fleet.play(9_000, demand);
-        fleet.replaceEndpoint();
-        fleet.name(rate(second));
-        fleet.play(21_000, demand);
-        assertThat((double) fleet.mostInWindow(9_000 + LEARNING_MILLIS, 21_000, WINDOW_MILLIS))
-                .isAtMost(allowed(second));
+        double demand = 2 + 4 * Math.max(firstLimit, secondLimit);
+        fleet.advertise(rate(firstLimit));
+        fleet.run(9_000, demand);
+        fleet.restartEndpoint();
+        fleet.advertise(rate(secondLimit));
+        fleet.run(21_000, demand);
+        assertThat((double) fleet.maximumInWindow(9_000 + LEARNING_MILLIS, 21_000, WINDOW_MILLIS))
+                .isAtMost(allowed(secondLimit));
     }
 
-    /** The limit falls: what was sent before must not stop all requests, and it holds soon. */
+    /** When the limit falls, usage under the higher limit must not stop all requests. */
     @Property(seed = "33", tries = 40)
-    void aLimitThatChangesHoldsSoonAndStarvesNobody(
+    void lowerLimitIsInForceSoonAndStillUsed(
             @ForAll @IntRange(min = 2, max = 95) int vms,
-            @ForAll @DoubleRange(min = 4, max = 12) double first,
-            @ForAll @DoubleRange(min = 1, max = 3) double second,
+            @ForAll @DoubleRange(min = 4, max = 12) double firstLimit,
+            @ForAll @DoubleRange(min = 1, max = 3) double secondLimit,
             @ForAll @IntRange(min = 0, max = 30) int lostPercent,
             @ForAll long seed) {
         LimitedFleet fleet = new LimitedFleet(vms, lostPercent, seed);
-        double demand = 4 * first;
-        fleet.name(rate(first));
-        fleet.play(9_000, demand);
-        fleet.name(rate(second));
-        fleet.play(32_000, demand);
-        assertThat((double) fleet.mostInWindow(9_000 + LEARNING_MILLIS, 32_000, WINDOW_MILLIS))
-                .isAtMost(allowed(second));
-        assertThat((double) fleet.arrivals(12_000, 32_000)).isAtLeast(0.7 * second * 20);
+        double demand = 4 * firstLimit;
+        fleet.advertise(rate(firstLimit));
+        fleet.run(9_000, demand);
+        fleet.advertise(rate(secondLimit));
+        fleet.run(32_000, demand);
+        assertThat((double) fleet.maximumInWindow(9_000 + LEARNING_MILLIS, 32_000, WINDOW_MILLIS))
+                .isAtMost(allowed(secondLimit));
+        assertThat((double) fleet.arrivals(12_000, 32_000)).isAtLeast(0.7 * secondLimit * 20);
     }
 
-    /** A demand above the limit is served as far as the endpoint named. */
+    /** Under a demand above the limit, the endpoint gets most of its limit. */
     @Property(seed = "34", tries = 60)
-    void anEndpointGetsWhatItNamed(
+    void endpointGetsMostOfItsLimitUnderExcessDemand(
             @ForAll @IntRange(min = 2, max = 95) int vms,
             @ForAll @DoubleRange(min = 1, max = 12) double limit,
             @ForAll @DoubleRange(min = 2, max = 8) double excess,
             @ForAll @IntRange(min = 0, max = 30) int lostPercent,
             @ForAll long seed) {
         LimitedFleet fleet = new LimitedFleet(vms, lostPercent, seed);
-        fleet.name(rate(limit));
-        fleet.play(25_000, limit * excess);
+        fleet.advertise(rate(limit));
+        fleet.run(25_000, limit * excess);
         assertThat((double) fleet.arrivals(5_000, 25_000)).isAtLeast(0.7 * limit * 20);
     }
 
-    /** Nothing is refused below the limit. */
+    /** Under a demand of half the limit, requests are hardly rejected. */
     @Property(seed = "35", tries = 40)
-    void aDemandBelowTheLimitIsServed(
+    void demandBelowTheLimitIsServed(
             @ForAll @IntRange(min = 2, max = 95) int vms,
             @ForAll @DoubleRange(min = 2, max = 12) double limit,
             @ForAll long seed) {
         LimitedFleet fleet = new LimitedFleet(vms, 0, seed);
-        fleet.name(rate(limit));
-        fleet.play(5_000, limit / 2);
-        fleet.play(25_000, limit / 2);
+        fleet.advertise(rate(limit));
+        fleet.run(5_000, limit / 2);
+        fleet.run(25_000, limit / 2);
         assertThat((double) fleet.arrivals(5_000, 25_000))
-                .isAtLeast(0.8 * fleet.asked(5_000, 25_000));
+                .isAtLeast(0.8 * fleet.demanded(5_000, 25_000));
     }
 
-    /** The endpoint recovers: all VMs send as before. */
+    /** When the endpoint recovers, all VMs send without a limit again. */
     @Property(seed = "36", tries = 40)
-    void aLimitEndsWithTheFirstAnswerWithoutIt(
+    void limitEndsWithTheFirstResponseWithoutIt(
             @ForAll @IntRange(min = 2, max = 95) int vms,
             @ForAll @DoubleRange(min = 0.5, max = 4) double limit,
             @ForAll @IntRange(min = 0, max = 30) int lostPercent,
             @ForAll long seed) {
         LimitedFleet fleet = new LimitedFleet(vms, lostPercent, seed);
         double demand = 10 * limit;
-        fleet.name(rate(limit));
-        fleet.play(10_000, demand);
-        fleet.name(new AdvertisedLimit.None());
-        fleet.play(20_000, demand);
-        assertThat(fleet.arrivals(16_000, 20_000)).isEqualTo(fleet.asked(16_000, 20_000));
+        fleet.advertise(rate(limit));
+        fleet.run(10_000, demand);
+        fleet.advertise(new AdvertisedLimit.None());
+        fleet.run(20_000, demand);
+        assertThat(fleet.arrivals(16_000, 20_000)).isEqualTo(fleet.demanded(16_000, 20_000));
     }
 
-    /** An endpoint that takes nothing would never be seen to recover if nothing were sent. */
+    /** If nothing were sent to an endpoint with a limit of 0, no response could end the limit. */
     @Test
-    void anEndpointThatTakesNothingIsAskedNowAndThen() {
+    void endpointWithALimitOfZeroGetsARequestNowAndThen() {
         EndpointLimit limit = new EndpointLimit(0);
         limit.observe(rate(0), 1, 1);
         assertThat(limit.tryAcquire(1, true, 0, 2)).isFalse();
@@ -141,13 +144,13 @@
     }
 
     /**
-     * The limit counts requests, and small ones that could go elsewhere use it up; the large ones
-     * crowd the other endpoints. Where nothing else takes them, small ones are let in.
+     * If small requests that other endpoints could serve use the limit up, large requests queue at
+     * the other endpoints. Small requests are admitted if no other endpoint can serve them.
      */
     @ParameterizedTest
     @CsvSource({"true, 0, 15", "false, 5, 16"})
-    void largerRequestsAreLetInWhereSmallerOnesCanGoElsewhere(
-            boolean elsewhere, int leastSmall, int leastTogether) {
+    void largerRequestsAreAdmittedIfSmallerOnesCanGoElsewhere(
+            boolean elsewhere, int minimumSmall, int minimumTotal) {
         EndpointLimit limit = new EndpointLimit(0);
         limit.observe(rate(2), 1, 1);
         Random random = new Random(7);
@@ -155,19 +158,19 @@
         int large = 0;
         for (long millis = 1; millis <= 10_000; millis += 50) {
             boolean isLarge = random.nextInt(4) == 0;
-            boolean taken =
+            boolean acquired =
                     limit.tryAcquire(isLarge ? 9_000 : 800, elsewhere, 0, millis * 1_000_000L);
-            large += taken && isLarge ? 1 : 0;
-            small += taken && !isLarge ? 1 : 0;
+            large += acquired && isLarge ? 1 : 0;
+            small += acquired && !isLarge ? 1 : 0;
         }
-        assertThat(large + small).isAtLeast(leastTogether);
-        assertThat(small).isAtLeast(leastSmall);
+        assertThat(large + small).isAtLeast(minimumTotal);
+        assertThat(small).isAtLeast(minimumSmall);
         assertThat(elsewhere && small > large / 4).isFalse();
     }
 
-    /** A number that no bucket can hold must not end in an overflow that stops all requests. */
+    /** A limit too large for the bucket must not cause an overflow that stops all requests. */
     @Test
-    void aHugeLimitIsNone() {
+    void hugeLimitAdmitsEverything() {
         EndpointLimit limit = new EndpointLimit(0);
         limit.observe(rate(999_999_999_999_999_999.0), 1, 1);
         for (int request = 1; request <= 10_000; request++) {
@@ -175,9 +178,9 @@
         }
     }
 
-    /** An older observation of a peer must not bring a limit back that has ended. */
+    /** An older observation of a peer must not restore a limit that has ended. */
     @Test
-    void theLatestObservationHolds() {
+    void latestObservationIsInForce() {
         EndpointLimit limit = new EndpointLimit(0);
         assertThat(limit.observe(rate(2), 10, 10)).isTrue();
         assertThat(limit.observe(new AdvertisedLimit.None(), 30, 30)).isTrue();
--- a/core/src/test/java/org/bronzelug/core/limit/FleetBucketTest.java
+++ b/core/src/test/java/org/bronzelug/core/limit/FleetBucketTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Other teams' callers wait while one team sends seven times its rate: each VM admits the whole
- * rate because it does not know what the others admit. Here every VM subtracts what the others
- * tell; what is admitted beyond the rate is what arrives while the counts travel.
+ * Guards against a team that sends seven times its rate through all VMs and gets more than its
+ * rate, so that the callers of other teams wait. This happens if each VM admits the whole rate, not
+ * knowing what its peers admit, or if VMs admit too much while their usage is in transit.
  */
 class FleetBucketTest {
     private static final long MILLI = 1_000_000L;
@@ -25,10 +25,10 @@
     private static final long ROUND_MILLIS = 150;
     private static final long WINDOW_MILLIS = 8_000;
 
-    /** Callers that came while no VM ran, and come again at one moment. */
-    private static final int HERD_MILLIS = 1_500;
+    /** Period without a running VM, whose callers all retry at the same moment. */
+    private static final int BACKLOG_MILLIS = 1_500;
 
-    /** What the users allow in a window: a tenth more than the rate, and this many tokens. */
+    /** Maximum usage in a window: a tenth more than rate and burst, plus a fixed slack. */
     private static final double ALLOWED = (RATE * WINDOW_MILLIS / 1_000 + BURST) * 1.1 + 72_000;
 
     @Property(seed = "12", tries = 60)
@@ -41,7 +41,7 @@
         List<FleetBucket> buckets = fleet(vms);
         List<long[]> admitted = new ArrayList<>();
         double perMilli = RATE * excess / 1_000 / REQUEST;
-        boolean cut = lostPercent > 60;
+        boolean partitioned = lostPercent > 60;
         for (long millis = 1; millis <= 20_000; millis++) {
             if (random.nextDouble() < perMilli) {
                 FleetBucket bucket = buckets.get(random.nextInt(vms));
@@ -50,19 +50,19 @@
                 }
             }
             if (millis % ROUND_MILLIS == 0) {
-                exchange(buckets, millis, cut);
+                exchange(buckets, millis, partitioned);
             }
         }
-        assertThat(mostInWindow(admitted)).isAtMost(ALLOWED);
+        assertThat(maximumInWindow(admitted)).isAtMost(ALLOWED);
     }
 
     /**
-     * All VMs restart while one team floods, and its callers come back at one moment. Each VM has a
-     * part of the burst until it hears the others; what they admit together must be paid for, or
-     * the other teams' callers wait.
+     * All VMs restart while one team exceeds its rate, and its callers retry at the same moment.
+     * Each VM may admit a fraction of the burst before it receives its peers' usage. If that usage
+     * were not subtracted later, the team would get too much and other teams' callers would wait.
      */
     @Property(seed = "13", tries = 60)
-    void aRestartOfAllVmsInAFloodGivesNoBurstToEach(
+    void restartOfAllVmsInAFloodGivesNoBurstToEachVm(
             @ForAll @IntRange(min = 2, max = 8) int vms,
             @ForAll @IntRange(min = 2, max = 4) int excess,
             @ForAll @IntRange(min = 2_000, max = 9_000) int restartMillis,
@@ -75,7 +75,7 @@
             double arrivals = perMilli;
             if (millis == restartMillis) {
                 buckets = restarted(vms, millis);
-                arrivals = perMilli * HERD_MILLIS;
+                arrivals = perMilli * BACKLOG_MILLIS;
             }
             for (double left = arrivals; left > 0; left--) {
                 FleetBucket bucket = buckets.get(random.nextInt(vms));
@@ -88,7 +88,7 @@
                 exchange(buckets, millis, false);
             }
         }
-        assertThat(mostInWindow(admitted)).isAtMost(ALLOWED);
+        assertThat(maximumInWindow(admitted)).isAtMost(ALLOWED);
     }
 
     private static List<FleetBucket> restarted(int vms, long millis) {
@@ -108,22 +108,24 @@
         return buckets;
     }
 
-    /** A fleet that is cut hears nobody: each VM is left with its own part. */
-    private static void exchange(List<FleetBucket> buckets, long millis, boolean cut) {
-        for (FleetBucket hearing : buckets) {
-            if (cut) {
-                hearing.setReachableFraction(1.0 / buckets.size());
+    /**
+     * Delivers all VMs' usage to all others; in a partitioned fleet, VMs reach none of their peers.
+     */
+    private static void exchange(List<FleetBucket> buckets, long millis, boolean partitioned) {
+        for (FleetBucket receiver : buckets) {
+            if (partitioned) {
+                receiver.setReachableFraction(1.0 / buckets.size());
                 continue;
             }
-            for (FleetBucket telling : buckets) {
-                if (telling != hearing) {
-                    hearing.recordPeer(
+            for (FleetBucket sender : buckets) {
+                if (sender != receiver) {
+                    receiver.recordPeer(
                             new PeerBucketUsage(
-                                    "vm-" + buckets.indexOf(telling),
+                                    "vm-" + buckets.indexOf(sender),
                                     "first",
-                                    telling.admitted(),
-                                    telling.offered(),
-                                    telling.level(millis * MILLI),
+                                    sender.admitted(),
+                                    sender.offered(),
+                                    sender.level(millis * MILLI),
                                     true),
                             millis * MILLI);
                 }
@@ -131,8 +133,8 @@
         }
     }
 
-    private static double mostInWindow(List<long[]> admitted) {
-        double most = 0;
+    private static double maximumInWindow(List<long[]> admitted) {
+        double maximum = 0;
         for (long[] first : admitted) {
             double sum = 0;
             for (long[] other : admitted) {
@@ -140,14 +142,14 @@
                     sum += other[1];
                 }
             }
-            most = Math.max(most, sum);
+            maximum = Math.max(maximum, sum);
         }
-        return most;
+        return maximum;
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, 40_000, 90_000})
-    void aVmThatStartsFallsToThePeersLevel(long level) {
+    void startingVmAdoptsTheLowerLevelOfAPeer(long level) {
         FleetBucket bucket = new FleetBucket(RATE, BURST, BURST, 0);
         bucket.recordPeer(
                 new PeerBucketUsage("vm-2", "first", 1_000_000, 1_000_000, level, false), 0);
@@ -155,14 +157,14 @@
     }
 
     @Test
-    void whatAPeerThatStartedWithThisVmAdmittedIsPaidFor() {
+    void usageOfAPeerThatStartedTogetherIsSubtracted() {
         FleetBucket bucket = new FleetBucket(RATE, BURST, BURST, 0);
         bucket.recordPeer(new PeerBucketUsage("vm-2", "first", 130_000, 130_000, 0, true), 0);
         assertThat(bucket.level(0)).isEqualTo(BURST - 130_000);
     }
 
     @Test
-    void aPeerThatRestartsCountsFromZeroAgain() {
+    void restartedPeerCountsFromZero() {
         FleetBucket bucket = new FleetBucket(RATE, BURST, BURST, 0);
         bucket.recordPeer(new PeerBucketUsage("vm-2", "first", 50_000, 50_000, BURST, false), 0);
         bucket.recordPeer(new PeerBucketUsage("vm-2", "second", 10_000, 10_000, BURST, true), 0);
@@ -171,7 +173,7 @@
     }
 
     @Test
-    void aRequestThatDidNotRunGivesItsTokensBack() {
+    void refundReturnsTheTokensOfARequestThatDidNotRun() {
         FleetBucket bucket = new FleetBucket(RATE, BURST, BURST, 0);
         assertThat(bucket.tryAcquire(60_000, 0, 0)).isTrue();
         assertThat(bucket.tryAcquire(60_000, 0, 0)).isFalse();
--- a/core/src/test/java/org/bronzelug/core/limit/LimitedFleet.java
+++ b/core/src/test/java/org/bronzelug/core/limit/LimitedFleet.java
@@ -7,9 +7,9 @@
 import java.util.Random;
 
 /**
- * A fleet of VMs on a virtual clock that send requests to one endpoint which names a limit in its
- * answers. VMs tell each other counts and what they have seen by reports that are delayed, lost and
- * doubled.
+ * Simulates, on a virtual clock, a fleet of VMs that send requests to one endpoint, which
+ * advertises a limit in its responses. VMs send each other their usage and the last limit observed,
+ * in reports that are delayed, lost and duplicated.
  *
  * <p>Not thread-safe. Times are milliseconds.
  */
@@ -25,11 +25,11 @@
     private final int lostPercent;
     private final int roundMillis;
     private final List<Vm> vms = new ArrayList<>();
-    private final List<Message> underWay = new ArrayList<>();
-    private final List<Answer> answers = new ArrayList<>();
+    private final List<Message> inFlight = new ArrayList<>();
+    private final List<Response> responses = new ArrayList<>();
     private final List<Arrival> arrivals = new ArrayList<>();
-    private final List<Long> asked = new ArrayList<>();
-    private AdvertisedLimit named = new AdvertisedLimit.None();
+    private final List<Long> demanded = new ArrayList<>();
+    private AdvertisedLimit advertised = new AdvertisedLimit.None();
     private int incarnations;
     private int endpointStart;
     private long millis;
@@ -43,53 +43,59 @@
         }
     }
 
-    /** From now on the answers of the endpoint name this. */
-    void name(AdvertisedLimit limit) {
-        named = limit;
+    /** Sets the limit that all later responses of the endpoint advertise. */
+    void advertise(AdvertisedLimit limit) {
+        advertised = limit;
     }
 
-    /** Another start of the endpoint: all VMs begin with what its answers say. */
-    void replaceEndpoint() {
+    /** Restarts the endpoint: all VMs discard what they know of the previous start. */
+    void restartEndpoint() {
         endpointStart++;
-        vms.forEach(Vm::forgetEndpoint);
-        answers.clear();
-        underWay.clear();
+        vms.forEach(Vm::resetEndpoint);
+        responses.clear();
+        inFlight.clear();
     }
 
     void replaceVm(int index) {
         vms.set(index, new Vm("vm-" + index, millis + RESTART_MILLIS));
     }
 
-    /** Plays until a time, with so many requests a second that would go to the endpoint. */
-    void play(long untilMillis, double requestsPerSecond) {
+    /** Runs until the given time, with the given demand for the endpoint. */
+    void run(long untilMillis, double requestsPerSecond) {
         while (millis < untilMillis) {
             millis++;
             deliver();
-            vms.forEach(Vm::roundIfDue);
+            vms.forEach(Vm::runRoundIfScheduled);
             for (double left = requestsPerSecond / 1_000; left > 0; left--) {
                 if (random.nextDouble() < left) {
-                    vms.get(random.nextInt(vms.size())).ask();
+                    vms.get(random.nextInt(vms.size())).sendRequest();
                 }
             }
         }
     }
 
     /**
-     * The most requests in a window, of VMs that had told their callers the limit half a second
-     * before and have not started since.
+     * Returns the maximum number of requests in a window, counting only requests of VMs that had
+     * known the limit, from a response since their start, for at least half a second.
      */
-    long mostInWindow(long fromMillis, long toMillis, long windowMillis) {
+    long maximumInWindow(long fromMillis, long toMillis, long windowMillis) {
         List<Arrival> counted =
                 arrivals.stream()
-                        .filter(one -> one.millis() >= fromMillis && one.millis() < toMillis)
-                        .filter(one -> one.toldMillis() + 500 <= one.millis())
+                        .filter(
+                                request ->
+                                        request.millis() >= fromMillis
+                                                && request.millis() < toMillis)
+                        .filter(request -> request.knownSinceMillis() + 500 <= request.millis())
                         .toList();
         return counted.stream()
                 .mapToLong(
                         first ->
                                 counted.stream()
-                                        .filter(one -> one.millis() >= first.millis())
-                                        .filter(one -> one.millis() - first.millis() < windowMillis)
+                                        .filter(request -> request.millis() >= first.millis())
+                                        .filter(
+                                                request ->
+                                                        request.millis() - first.millis()
+                                                                < windowMillis)
                                         .count())
                 .max()
                 .orElse(0);
@@ -97,13 +103,13 @@
 
     long arrivals(long fromMillis, long toMillis) {
         return arrivals.stream()
-                .filter(one -> one.millis() >= fromMillis && one.millis() < toMillis)
+                .filter(request -> request.millis() >= fromMillis && request.millis() < toMillis)
                 .count();
     }
 
-    /** Requests that would have arrived without the limit. */
-    long asked(long fromMillis, long toMillis) {
-        return asked.stream().filter(one -> one >= fromMillis && one < toMillis).count();
+    /** Returns the number of requests that would have arrived without the limit. */
+    long demanded(long fromMillis, long toMillis) {
+        return demanded.stream().filter(at -> at >= fromMillis && at < toMillis).count();
     }
 
     private long nanos() {
@@ -112,28 +118,28 @@
 
     private void deliver() {
         List<Message> arrived =
-                underWay.stream().filter(message -> message.arriveMillis() <= millis).toList();
-        underWay.removeAll(arrived);
-        arrived.forEach(message -> vms.forEach(vm -> vm.hear(message.report())));
-        List<Answer> answered =
-                answers.stream().filter(answer -> answer.arriveMillis() <= millis).toList();
-        answers.removeAll(answered);
-        answered.forEach(answer -> answer.vm().takeAnswer(named));
+                inFlight.stream().filter(message -> message.arrivalMillis() <= millis).toList();
+        inFlight.removeAll(arrived);
+        arrived.forEach(message -> vms.forEach(vm -> vm.receive(message.report())));
+        List<Response> arrivedResponses =
+                responses.stream().filter(response -> response.arrivalMillis() <= millis).toList();
+        responses.removeAll(arrivedResponses);
+        arrivedResponses.forEach(response -> response.vm().observeResponse(advertised));
     }
 
     private void send(Report report) {
         if (random.nextInt(100) < lostPercent) {
             return;
         }
-        underWay.add(new Message(millis + 1 + random.nextInt(5), report));
+        inFlight.add(new Message(millis + 1 + random.nextInt(5), report));
         if (random.nextInt(10) == 0) {
-            underWay.add(new Message(millis + 1 + random.nextInt(2 * roundMillis), report));
+            inFlight.add(new Message(millis + 1 + random.nextInt(2 * roundMillis), report));
         }
     }
 
-    private record Arrival(long millis, long toldMillis) {}
+    private record Arrival(long millis, long knownSinceMillis) {}
 
-    private record Answer(long arriveMillis, Vm vm) {}
+    private record Response(long arrivalMillis, Vm vm) {}
 
     private record Report(
             String vm,
@@ -144,7 +150,7 @@
             long sentMillis,
             EndpointLimit.Count count) {}
 
-    private record Message(long arriveMillis, Report report) {}
+    private record Message(long arrivalMillis, Report report) {}
 
     private final class Vm {
         private static final long NEVER = Long.MAX_VALUE / 2;
@@ -155,9 +161,9 @@
         private final long startMillis;
         private final Map<String, Integer> sequences = new HashMap<>();
         private EndpointLimit limit;
-        private long toldMillis = NEVER;
+        private long knownSinceMillis = NEVER;
         private int sequence;
-        private List<Report> heard = new ArrayList<>();
+        private List<Report> received = new ArrayList<>();
 
         private Vm(String name, long startMillis) {
             this.name = name;
@@ -165,50 +171,51 @@
             this.limit = new EndpointLimit(0);
         }
 
-        private void forgetEndpoint() {
+        private void resetEndpoint() {
             limit = new EndpointLimit(nanos());
-            toldMillis = NEVER;
-            heard.clear();
+            knownSinceMillis = NEVER;
+            received.clear();
         }
 
-        private void ask() {
+        private void sendRequest() {
             if (millis < startMillis) {
                 return;
             }
-            asked.add(millis);
+            demanded.add(millis);
             if (!limit.tryAcquire(1, true, random.nextDouble(), nanos())) {
                 return;
             }
-            arrivals.add(new Arrival(millis, toldMillis));
-            answers.add(new Answer(millis + 20 + random.nextInt(280), this));
+            arrivals.add(new Arrival(millis, knownSinceMillis));
+            responses.add(new Response(millis + 20 + random.nextInt(280), this));
         }
 
-        private void takeAnswer(AdvertisedLimit said) {
-            limit.observe(said, nanos(), nanos());
-            boolean told = said instanceof AdvertisedLimit.Rate;
-            toldMillis = told ? Math.min(toldMillis, millis) : NEVER;
+        private void observeResponse(AdvertisedLimit observed) {
+            limit.observe(observed, nanos(), nanos());
+            boolean isLimited = observed instanceof AdvertisedLimit.Rate;
+            knownSinceMillis = isLimited ? Math.min(knownSinceMillis, millis) : NEVER;
         }
 
-        private void hear(Report report) {
-            boolean older = sequences.getOrDefault(report.incarnation(), 0) >= report.sequence();
-            if (millis < startMillis || report.vm().equals(name) || older) {
+        private void receive(Report report) {
+            boolean isOutdated =
+                    sequences.getOrDefault(report.incarnation(), 0) >= report.sequence();
+            if (millis < startMillis || report.vm().equals(name) || isOutdated) {
                 return;
             }
             sequences.put(report.incarnation(), report.sequence());
-            heard.add(report);
+            received.add(report);
         }
 
-        private void roundIfDue() {
+        private void runRoundIfScheduled() {
             if (millis < startMillis || millis % roundMillis != phase) {
                 return;
             }
             limit.setFleet(1, (long) PROPAGATION_DELAY_ROUNDS * roundMillis * NANOS_PER_MILLI);
-            for (Report report : heard) {
+            for (Report report : received) {
                 long seenMillis = report.sentMillis() - report.seenAgeMillis();
                 limit.observe(report.limit(), seenMillis * NANOS_PER_MILLI, nanos());
                 limit.recordPeer(report.vm(), report.incarnation(), report.count(), nanos());
             }
-            heard = new ArrayList<>();
+            received = new ArrayList<>();
             long seenAge = millis - limit.observedNanos() / NANOS_PER_MILLI;
             send(
                     new Report(
--- a/core/src/test/java/org/bronzelug/core/limit/ModelledFleet.java
+++ b/core/src/test/java/org/bronzelug/core/limit/ModelledFleet.java
@@ -11,9 +11,9 @@
 import java.util.Random;
 
 /**
- * A fleet of VMs on a virtual clock that admit one team's requests and exchange counts as the
- * router does: a report is read in one round, sent in the next, and taken in at the receiver's next
- * round.
+ * Simulates, on a virtual clock, a fleet of VMs that admit one team's requests and exchange their
+ * usage as the router does: a VM takes its usage in one round and sends it in the next, and the
+ * receiver applies it in its own next round.
  *
  * <p>Not thread-safe. Times are milliseconds, amounts tokens.
  */
@@ -22,34 +22,34 @@
     static final double BURST = 120_000;
     static final long WINDOW_MILLIS = 8_000;
 
-    /** The bound on what runs in a window: a tenth over rate and burst, and the slack. */
+    /** Maximum usage in a window: a tenth more than rate and burst, plus a fixed slack. */
     static final double ALLOWED = (RATE * WINDOW_MILLIS / 1_000 + BURST) * 1.1 + 72_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int ROUND_MILLIS = 150;
-    private static final long LIVE_MILLIS = 1_000;
-    private static final long GONE_MILLIS = 10_000;
+    private static final long REACHABLE_MILLIS = 1_000;
+    private static final long DEPARTED_MILLIS = 10_000;
     private static final int LARGE_PROMPT = 9_200;
     private static final int SMALL_PROMPT = 830;
     private static final double MEAN_TOKENS = (LARGE_PROMPT + SMALL_PROMPT) / 2.0;
-    private static final long CALLER_PATIENCE_MILLIS = 1_600;
-    private static final double RESTART_PART = 0.2;
+    private static final long MAXIMUM_CALLER_WAIT_MILLIS = 1_600;
+    private static final double RESTART_FRACTION = 0.2;
 
     private final Random random;
     private final int lostPercent;
     private final List<Vm> vms = new ArrayList<>();
-    private final PriorityQueue<Arrival> returning =
+    private final PriorityQueue<Arrival> retries =
             new PriorityQueue<>(Comparator.comparingLong(Arrival::millis));
-    private final Deque<Arrival> runs = new ArrayDeque<>();
-    private final List<Message> underWay = new ArrayList<>();
-    private int started;
+    private final Deque<Arrival> admissions = new ArrayDeque<>();
+    private final List<Message> inFlight = new ArrayList<>();
+    private int incarnations;
     private long millis;
     private long offered;
-    private long refused;
-    private long refusedByOneBucket;
-    private final TokenBucket oneBucket = new TokenBucket(RATE, BURST, BURST, 0);
+    private long rejected;
+    private long rejectedByCentralBucket;
+    private final TokenBucket centralBucket = new TokenBucket(RATE, BURST, BURST, 0);
     private double windowSum;
-    private double mostInWindow;
+    private double maximumInWindow;
 
     ModelledFleet(int size, int lostPercent, long seed) {
         this.random = new Random(seed);
@@ -59,52 +59,54 @@
         }
     }
 
-    /** Plays until a time, with so many tokens asked for a second. */
-    void play(long untilMillis, double tokensPerSecond) {
+    /** Runs until the given time, with the given demand. */
+    void run(long untilMillis, double tokensPerSecond) {
         double arrivalsPerMilli = tokensPerSecond / MEAN_TOKENS / 1_000;
         while (millis < untilMillis) {
             millis++;
             deliver();
-            vms.forEach(Vm::roundIfDue);
+            vms.forEach(Vm::runRoundIfScheduled);
             for (double left = arrivalsPerMilli; left > 0; left--) {
                 if (random.nextDouble() < left) {
                     ask(random.nextBoolean() ? LARGE_PROMPT : SMALL_PROMPT);
                 }
             }
-            while (!returning.isEmpty() && returning.peek().millis() <= millis) {
-                arrive(returning.poll());
+            while (!retries.isEmpty() && retries.peek().millis() <= millis) {
+                arrive(retries.poll());
             }
-            endWindow();
+            updateWindow();
         }
     }
 
-    /** A VM is killed and comes back later, under the same name or another one. */
-    void replace(int index, boolean sameName) {
-        Vm killed = vms.get(index);
-        String name = sameName ? killed.name : "vm-new-" + started;
-        Vm next = new Vm(name, BURST * RESTART_PART);
+    /** Kills a VM and starts another one later, under the same name or a new one. */
+    void replace(int index, boolean keepName) {
+        Vm previous = vms.get(index);
+        String name = keepName ? previous.name : "vm-new-" + incarnations;
+        Vm next = new Vm(name, BURST * RESTART_FRACTION);
         next.startMillis = millis + 400;
         vms.set(index, next);
     }
 
-    /** From now on a VM hears nobody and is heard by nobody, or no longer so. */
-    void cut(int index, boolean cut) {
-        vms.get(index).cut = cut;
+    /** Disconnects a VM from all its peers, or connects it again. */
+    void setUnreachable(int index, boolean unreachable) {
+        vms.get(index).unreachable = unreachable;
     }
 
-    /** A stream that was admitted goes on at another runner, which counts as a run as well. */
+    /** Moves an admitted stream to another runner, which uses tokens again. */
     void moveStream(int tokens) {
         vms.get(random.nextInt(vms.size())).bucket.charge(tokens, nanos());
-        recordRun(tokens);
+        recordAdmission(tokens);
     }
 
-    double mostInWindow() {
-        return mostInWindow;
+    double maximumInWindow() {
+        return maximumInWindow;
     }
 
-    /** The part of the requests that the fleet refused and one central bucket would not have. */
-    double wronglyRefusedPart() {
-        return (double) (refused - refusedByOneBucket) / Math.max(1, offered);
+    /**
+     * Returns the fraction of requests that the fleet rejected beyond those of one central bucket.
+     */
+    double wronglyRejectedFraction() {
+        return (double) (rejected - rejectedByCentralBucket) / Math.max(1, offered);
     }
 
     private long nanos() {
@@ -114,10 +116,10 @@
     private void ask(int tokens) {
         offered++;
         String id = "request-" + offered;
-        if (oneBucket.reserve(id, tokens, nanos())) {
-            oneBucket.settle(id, tokens, nanos());
+        if (centralBucket.reserve(id, tokens, nanos())) {
+            centralBucket.settle(id, tokens, nanos());
         } else {
-            refusedByOneBucket++;
+            rejectedByCentralBucket++;
         }
         arrive(new Arrival(millis, tokens));
     }
@@ -128,37 +130,37 @@
             return;
         }
         if (vm.bucket.tryAcquire(arrival.tokens(), random.nextDouble(), nanos())) {
-            recordRun(arrival.tokens());
+            recordAdmission(arrival.tokens());
             return;
         }
-        refused++;
+        rejected++;
         long waitMillis =
                 vm.bucket.nanosUntil(arrival.tokens(), random.nextDouble(), nanos())
                         / NANOS_PER_MILLI;
-        if (waitMillis < CALLER_PATIENCE_MILLIS) {
-            returning.add(new Arrival(millis + waitMillis + 3, arrival.tokens()));
+        if (waitMillis < MAXIMUM_CALLER_WAIT_MILLIS) {
+            retries.add(new Arrival(millis + waitMillis + 3, arrival.tokens()));
         }
     }
 
-    private void recordRun(int tokens) {
-        runs.add(new Arrival(millis, tokens));
+    private void recordAdmission(int tokens) {
+        admissions.add(new Arrival(millis, tokens));
         windowSum += tokens;
     }
 
-    private void endWindow() {
-        mostInWindow = Math.max(mostInWindow, windowSum);
-        while (!runs.isEmpty() && runs.peekFirst().millis() <= millis - WINDOW_MILLIS) {
-            windowSum -= runs.pollFirst().tokens();
+    private void updateWindow() {
+        maximumInWindow = Math.max(maximumInWindow, windowSum);
+        while (!admissions.isEmpty() && admissions.peekFirst().millis() <= millis - WINDOW_MILLIS) {
+            windowSum -= admissions.pollFirst().tokens();
         }
     }
 
     private void deliver() {
         List<Message> arrived =
-                underWay.stream().filter(message -> message.arriveMillis() <= millis).toList();
-        underWay.removeAll(arrived);
+                inFlight.stream().filter(message -> message.arrivalMillis() <= millis).toList();
+        inFlight.removeAll(arrived);
         for (Message message : arrived) {
             for (Vm vm : vms) {
-                vm.hear(message);
+                vm.receive(message);
             }
         }
     }
@@ -166,7 +168,7 @@
     private void send(Report report) {
         boolean lost = random.nextInt(100) < lostPercent;
         if (!lost) {
-            underWay.add(new Message(millis + 1 + random.nextInt(5), report));
+            inFlight.add(new Message(millis + 1 + random.nextInt(5), report));
         }
     }
 
@@ -181,19 +183,19 @@
             double level,
             long startMillis) {}
 
-    private record Message(long arriveMillis, Report report) {}
+    private record Message(long arrivalMillis, Report report) {}
 
-    private record Heard(Report report, long millis) {}
+    private record ReceivedReport(Report report, long millis) {}
 
     private final class Vm {
         private final String name;
-        private final String incarnation = "incarnation-" + started++;
+        private final String incarnation = "incarnation-" + incarnations++;
         private final int phase = random.nextInt(ROUND_MILLIS);
-        private final Map<String, Heard> heard = new HashMap<>();
+        private final Map<String, ReceivedReport> received = new HashMap<>();
         private final FleetBucket bucket;
         private Report report;
         private int sequence;
-        private boolean cut;
+        private boolean unreachable;
         private long startMillis;
 
         private Vm(String name, double level) {
@@ -202,23 +204,26 @@
             this.bucket = new FleetBucket(RATE, BURST, level, nanos());
         }
 
-        private void hear(Message message) {
-            Report said = message.report();
-            Heard known = heard.get(said.vm());
-            boolean older =
+        private void receive(Message message) {
+            Report incoming = message.report();
+            ReceivedReport known = received.get(incoming.vm());
+            boolean isOutdated =
                     known != null
-                            && known.report().incarnation().equals(said.incarnation())
-                            && known.report().sequence() >= said.sequence();
-            if (!cut && millis >= startMillis && !said.vm().equals(name) && !older) {
-                heard.put(said.vm(), new Heard(said, millis));
+                            && known.report().incarnation().equals(incoming.incarnation())
+                            && known.report().sequence() >= incoming.sequence();
+            if (!unreachable
+                    && millis >= startMillis
+                    && !incoming.vm().equals(name)
+                    && !isOutdated) {
+                received.put(incoming.vm(), new ReceivedReport(incoming, millis));
             }
         }
 
-        private void roundIfDue() {
+        private void runRoundIfScheduled() {
             if (millis < startMillis || millis % ROUND_MILLIS != phase) {
                 return;
             }
-            if (report != null && !cut) {
+            if (report != null && !unreachable) {
                 send(report);
             }
             report =
@@ -230,21 +235,26 @@
                             bucket.offered(),
                             bucket.level(nanos()),
                             startMillis);
-            long live = heard.values().stream().filter(peer -> isWithin(peer, LIVE_MILLIS)).count();
+            long reachablePeers =
+                    received.values().stream()
+                            .filter(peer -> isWithin(peer, REACHABLE_MILLIS))
+                            .count();
             long known =
-                    heard.values().stream().filter(peer -> isWithin(peer, GONE_MILLIS)).count();
-            heard.values().stream()
-                    .filter(peer -> isWithin(peer, LIVE_MILLIS))
-                    .map(Heard::report)
-                    .forEach(this::takePeer);
-            bucket.setReachableFraction((1.0 + live) / (1 + known));
+                    received.values().stream()
+                            .filter(peer -> isWithin(peer, DEPARTED_MILLIS))
+                            .count();
+            received.values().stream()
+                    .filter(peer -> isWithin(peer, REACHABLE_MILLIS))
+                    .map(ReceivedReport::report)
+                    .forEach(this::applyReport);
+            bucket.setReachableFraction((1.0 + reachablePeers) / (1 + known));
         }
 
-        private boolean isWithin(Heard peer, long limitMillis) {
+        private boolean isWithin(ReceivedReport peer, long limitMillis) {
             return millis - peer.millis() < limitMillis;
         }
 
-        private void takePeer(Report peer) {
+        private void applyReport(Report peer) {
             boolean startedTogether = peer.startMillis() > startMillis - 2_000;
             bucket.recordPeer(
                     new PeerBucketUsage(
--- a/core/src/test/java/org/bronzelug/core/limit/RateSharesTest.java
+++ b/core/src/test/java/org/bronzelug/core/limit/RateSharesTest.java
@@ -6,7 +6,7 @@
 import org.bronzelug.core.membership.MemberIdentity;
 import org.junit.jupiter.api.Test;
 
-/** A team's rate while its group moves from VM to VM, one step at a time. */
+/** Tests a team's rate at each step in which the team's group moves from one VM to another. */
 class RateSharesTest {
     private static final long LIMIT = 2_000_000_000L;
     private static final String TEAM = "buchhandel";
@@ -17,67 +17,68 @@
     private final MemberIdentity first = new MemberIdentity("vm-1", "a");
     private final MemberIdentity second = new MemberIdentity("vm-2", "b");
     private final RateShares shares = new RateShares(first, LIMIT);
-    private final RateShares others = new RateShares(second, LIMIT);
+    private final RateShares otherShares = new RateShares(second, LIMIT);
 
     @Test
-    void theFirstHolderEverStartsFull() {
+    void firstHolderEverStartsWithAFullBucket() {
         take(shares, 1, false, 0);
         assertThat(reserve(shares, "r", 100, 0)).isInstanceOf(Admission.Granted.class);
         assertThat(reserve(shares, "s", 1, 0)).isInstanceOf(Admission.OverRate.class);
     }
 
     @Test
-    void aTakeOverWaitsForTheFormerHolderAndStartsEmpty() {
-        take(others, 2, true, 0);
-        assertThat(reserve(others, "r", 1, LIMIT)).isInstanceOf(Admission.NotHeld.class);
-        long usable = (long) (LIMIT * 1.02) + 1;
-        assertThat(reserve(others, "r", 5, usable)).isInstanceOf(Admission.OverRate.class);
-        assertThat(reserve(others, "r", 5, usable + 500_000_000L))
+    void ownershipWithoutTransferStartsAfterTheLimitWithAnEmptyBucket() {
+        take(otherShares, 2, true, 0);
+        assertThat(reserve(otherShares, "r", 1, LIMIT)).isInstanceOf(Admission.NotHeld.class);
+        long usableNanos = (long) (LIMIT * 1.02) + 1;
+        assertThat(reserve(otherShares, "r", 5, usableNanos))
+                .isInstanceOf(Admission.OverRate.class);
+        assertThat(reserve(otherShares, "r", 5, usableNanos + 500_000_000L))
                 .isInstanceOf(Admission.Granted.class);
     }
 
-    /** The team was idle since the take-over: its first request finds what accrued meanwhile. */
+    /** Tokens accrue from the change of ownership on, even if the team sends no request. */
     @Test
-    void anIdleTeamAccruesFromTheTakeOverOn() {
-        take(others, 2, true, 0);
-        long later = LIMIT * 2 + 8_000_000_000L;
-        assertThat(reserve(others, "r", 90, later)).isInstanceOf(Admission.Granted.class);
+    void idleTeamAccruesTokensFromTheChangeOfOwnershipOn() {
+        take(otherShares, 2, true, 0);
+        long laterNanos = LIMIT * 2 + 8_000_000_000L;
+        assertThat(reserve(otherShares, "r", 90, laterNanos)).isInstanceOf(Admission.Granted.class);
     }
 
     @Test
-    void anHeirGoesOnWithTheTokensLeft() {
+    void successorContinuesWithTheTokensLeft() {
         take(shares, 1, false, 0);
         reserve(shares, "r", 70, 0);
         Map<String, Double> left = shares.release(GROUP, RATES, 0);
         assertThat(reserve(shares, "s", 1, 0)).isInstanceOf(Admission.NotHeld.class);
-        others.inherit(GROUP, 1, first, left, RATES, 0);
-        assertThat(reserve(others, "s", 31, 0)).isInstanceOf(Admission.OverRate.class);
-        assertThat(reserve(others, "t", 30, 0)).isInstanceOf(Admission.Granted.class);
+        otherShares.inherit(GROUP, 1, first, left, RATES, 0);
+        assertThat(reserve(otherShares, "s", 31, 0)).isInstanceOf(Admission.OverRate.class);
+        assertThat(reserve(otherShares, "t", 30, 0)).isInstanceOf(Admission.Granted.class);
     }
 
-    /** A third VM took the group over before the hand-over arrived: the heir must not use it. */
+    /** A third VM took ownership before the transfer arrived, so the successor must not use it. */
     @Test
-    void aHandOverOfAnOlderVersionIsOfNoUse() {
-        others.observe(GROUP, 7, new MemberIdentity("vm-3", "c"));
-        others.inherit(GROUP, 1, first, Map.of(TEAM, 100.0), RATES, 0);
-        assertThat(reserve(others, "s", 1, 0)).isInstanceOf(Admission.NotHeld.class);
+    void transferOfAnOlderVersionIsIgnored() {
+        otherShares.observe(GROUP, 7, new MemberIdentity("vm-3", "c"));
+        otherShares.inherit(GROUP, 1, first, Map.of(TEAM, 100.0), RATES, 0);
+        assertThat(reserve(otherShares, "s", 1, 0)).isInstanceOf(Admission.NotHeld.class);
     }
 
     @Test
-    void aHolderThatIsNotFreshAdmitsNothing() {
+    void holderThatIsNotFreshAdmitsNothing() {
         take(shares, 1, false, 0);
         assertThat(shares.reserve("r", TEAM, RATE, 1, 0, false))
                 .isInstanceOf(Admission.NotHeld.class);
     }
 
     @Test
-    void aGroupThatComesBackStartsEmptyAgain() {
+    void groupThatReturnsStartsWithAnEmptyBucket() {
         take(shares, 1, false, 0);
         reserve(shares, "r", 1, 0);
         shares.observe(GROUP, 2, second);
         take(shares, 3, true, 0);
-        long usable = (long) (LIMIT * 1.02) + 1;
-        assertThat(reserve(shares, "s", 50, usable)).isInstanceOf(Admission.OverRate.class);
+        long usableNanos = (long) (LIMIT * 1.02) + 1;
+        assertThat(reserve(shares, "s", 50, usableNanos)).isInstanceOf(Admission.OverRate.class);
     }
 
     private static void take(RateShares of, long version, boolean hadHolder, long now) {
--- a/core/src/test/java/org/bronzelug/core/limit/TokenBucketTest.java
+++ b/core/src/test/java/org/bronzelug/core/limit/TokenBucketTest.java
@@ -10,26 +10,24 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A team gets no more than rate and burst in any interval, with estimates settled later.
- *
- * <p>What the other teams would see: one team's burst comes twice. The order: it reserves much,
- * waits until its bucket is full again, settles at little, and gets the rest back on top. Why: a
- * refund forgets that the bucket would have overflowed meanwhile.
+ * Guards against a team that gets more than rate and burst in an interval. The team reserves many
+ * tokens, waits until its bucket is full again, and settles at few. A plain refund ignores that the
+ * bucket would have overflowed meanwhile, so the team could use its burst twice.
  */
 class TokenBucketTest {
     private static final double RATE = 10;
     private static final double BURST = 100;
     private static final long MILLI = 1_000_000;
 
-    /** One admitted request: when, and what it really used. */
-    private static final class Use {
+    /** One admitted request, with its time and the amounts reserved and used. */
+    private static final class Request {
         private final String id;
         private final long time;
         private final double reserved;
         private double settled;
         private boolean open = true;
 
-        private Use(String id, long time, double reserved) {
+        private Request(String id, long time, double reserved) {
             this.id = id;
             this.time = time;
             this.reserved = reserved;
@@ -38,48 +36,49 @@
     }
 
     @Property(seed = "7301")
-    void noIntervalSeesMoreThanRateAndBurst(@ForAll long seed) {
+    void noIntervalAdmitsMoreThanRateAndBurst(@ForAll long seed) {
         Random random = new Random(seed);
         TokenBucket bucket = new TokenBucket(RATE, BURST, BURST, 0);
-        List<Use> uses = new ArrayList<>();
+        List<Request> requests = new ArrayList<>();
         long now = 0;
         for (int step = 0; step < 120; step++) {
             now += random.nextInt(3_000) * MILLI;
             if (random.nextBoolean()) {
-                Use use = new Use("r" + step, now, 1 + random.nextInt(100));
-                if (bucket.reserve(use.id, use.reserved, now)) {
-                    uses.add(use);
+                Request request = new Request("r" + step, now, 1 + random.nextInt(100));
+                if (bucket.reserve(request.id, request.reserved, now)) {
+                    requests.add(request);
                 }
             } else {
-                settleOne(bucket, uses, random, now);
+                settleOne(bucket, requests, random, now);
             }
         }
-        assertEveryIntervalBounded(uses);
+        assertEveryIntervalBounded(requests);
     }
 
-    private static void settleOne(TokenBucket bucket, List<Use> uses, Random random, long now) {
-        List<Use> open = uses.stream().filter(use -> use.open).toList();
+    private static void settleOne(
+            TokenBucket bucket, List<Request> requests, Random random, long now) {
+        List<Request> open = requests.stream().filter(request -> request.open).toList();
         if (!open.isEmpty()) {
-            Use use = open.get(random.nextInt(open.size()));
-            use.open = false;
-            use.settled = use.reserved * random.nextDouble();
-            bucket.settle(use.id, use.settled, now);
+            Request request = open.get(random.nextInt(open.size()));
+            request.open = false;
+            request.settled = request.reserved * random.nextDouble();
+            bucket.settle(request.id, request.settled, now);
         }
     }
 
-    private static void assertEveryIntervalBounded(List<Use> uses) {
-        for (int first = 0; first < uses.size(); first++) {
+    private static void assertEveryIntervalBounded(List<Request> requests) {
+        for (int first = 0; first < requests.size(); first++) {
             double sum = 0;
-            for (int last = first; last < uses.size(); last++) {
-                sum += uses.get(last).settled;
-                double seconds = (uses.get(last).time - uses.get(first).time) / 1e9;
+            for (int last = first; last < requests.size(); last++) {
+                sum += requests.get(last).settled;
+                double seconds = (requests.get(last).time - requests.get(first).time) / 1e9;
                 assertThat(sum).isAtMost(RATE * seconds + BURST + 1e-3);
             }
         }
     }
 
     @Test
-    void aLostAnswerAskedForAgainTakesNothingTwice() {
+    void repeatedReservationTakesTokensOnce() {
         TokenBucket bucket = new TokenBucket(RATE, BURST, BURST, 0);
         assertThat(bucket.reserve("same", 60, 0)).isTrue();
         assertThat(bucket.reserve("same", 60, 0)).isTrue();
@@ -87,7 +86,7 @@
     }
 
     @Test
-    void unusedTokensComeBackWhileThereIsRoom() {
+    void unusedTokensAreRefundedWhileThereIsRoom() {
         TokenBucket bucket = new TokenBucket(RATE, BURST, BURST, 0);
         assertThat(bucket.reserve("one", 80, 0)).isTrue();
         bucket.settle("one", 20, 0);
@@ -95,7 +94,7 @@
     }
 
     @Test
-    void tellsWhenTheAmountWillBeThere() {
+    void returnsTheTimeUntilTheAmountIsAvailable() {
         TokenBucket bucket = new TokenBucket(RATE, BURST, 0, 0);
         assertThat(bucket.nanosUntil(50, 0)).isEqualTo(5_000 * MILLI);
         assertThat(bucket.nanosUntil(BURST + 1, 0)).isLessThan(0L);
--- a/core/src/test/java/org/bronzelug/core/limit/UsageHistoryTest.java
+++ b/core/src/test/java/org/bronzelug/core/limit/UsageHistoryTest.java
@@ -12,7 +12,10 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Guards against VMs whose levels differ for good because counts reached them in another order. */
+/**
+ * Guards against VMs whose levels differ permanently because they received the same usage in a
+ * different order.
+ */
 class UsageHistoryTest {
     private static final long MILLI = 1_000_000L;
     private static final long WINDOW_NANOS = 10_000 * MILLI;
@@ -20,7 +23,7 @@
     private static final double SIZE = 1_000;
 
     @Property(seed = "31")
-    void theLevelDoesNotDependOnTheOrderOfReports(
+    void levelDoesNotDependOnTheOrderOfReports(
             @ForAll @Size(max = 30) List<@IntRange(min = 0, max = 9_000) Integer> usedMillis,
             @ForAll long seed) {
         List<Integer> shuffled = new ArrayList<>(usedMillis);
@@ -37,7 +40,7 @@
     }
 
     @Test
-    void whatIsOlderThanTheWindowIsForgotten() {
+    void usageOlderThanTheWindowIsDiscarded() {
         UsageHistory history = new UsageHistory(WINDOW_NANOS);
         history.add(50_000, 1, 0);
         assertThat(history.level(RATE, SIZE, 9_000 * MILLI)).isLessThan(0.0);
@@ -45,11 +48,11 @@
     }
 
     @Test
-    void usageSeenWhileHalfOfTheFleetWasHeardCountsTwiceUntilTheRestIsHeard() {
+    void usageCountsTwiceWhileHalfOfTheFleetIsReachable() {
         UsageHistory history = new UsageHistory(WINDOW_NANOS);
         history.add(200, 0.5, 0);
         assertThat(history.level(0, SIZE, MILLI)).isEqualTo(600.0);
-        history.raiseParts(1);
+        history.raiseReachableFractions(1);
         assertThat(history.level(0, SIZE, MILLI)).isEqualTo(800.0);
     }
 }
