--- a/core/src/main/java/org/bronzelug/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/bronzelug/core/retry/RetryBudget.java
@@ -1,51 +1,51 @@
 package org.bronzelug.core.retry;
 
 /**
- * Bounds the requests that this VM sends again to one pool, in any window.
+ * Bounds the retries that this VM sends to one pool, in any window.
  *
- * <p>The failure it prevents: endpoints that are overloaded refuse, each refusal becomes another
- * request, and the repeats keep them overloaded. Each VM has a fixed part of what the fleet may
- * repeat: a ratio of the requests that it has itself passed on, and an equal part of the slack. So
- * the sum over all VMs keeps the bound without a message, however the traffic is spread.
+ * <p>Without this, overloaded endpoints reject requests, each rejection leads to another request,
+ * and the retries keep the endpoints overloaded. Each VM may retry a ratio of the requests that it
+ * forwarded itself, plus an equal fraction of the fleet's slack. The sum over all VMs therefore
+ * stays within the fleet's bound without any messages, however the traffic is distributed.
  *
- * <p>Invariant: in any window, granted repeats are at most {@code ratio} times the first attempts
- * of that window plus the slack. A window is kept as sixteen slices; a slice that lies partly
- * outside counts in full for repeats. Not thread-safe: guarded by its owner.
+ * <p>Invariant: in any window, granted retries are at most {@code ratio} times the first attempts
+ * of that window plus the slack. A window is divided into 16 slices; the retries of a slice that
+ * lies partly outside the window are counted in full. Not thread-safe: guarded by its owner.
  */
 public final class RetryBudget {
     private static final int SLICES = 16;
 
     private final long sliceNanos;
     private final int[] firstAttempts = new int[SLICES + 1];
-    private final int[] repeats = new int[SLICES + 1];
+    private final int[] retries = new int[SLICES + 1];
     private long currentSlice = Long.MIN_VALUE;
 
     public RetryBudget(long windowNanos) {
         this.sliceNanos = Math.max(1, windowNanos / SLICES);
     }
 
-    /** A request is sent for the first time. */
+    /** Records the first attempt of a request. */
     public void recordFirst(long nowNanos) {
         advance(nowNanos);
         firstAttempts[index(currentSlice)]++;
     }
 
     /**
-     * Takes one repeat out of the budget, if it is there.
+     * Takes one retry from the budget, if available.
      *
-     * <p>Repeats by choice leave a part of it. The failure this prevents: streams leave a runner
-     * that is to load weights and use up the budget, the next runner refuses them, and they are
-     * broken off for want of another repeat.
+     * <p>Retries by choice may use only a fraction of the budget. Without this, streams that move
+     * away from a runner before it loads weights use up the budget; if the next runner rejects
+     * them, they fail because no further retry is granted.
      *
-     * @param ratio repeats allowed for each first attempt
-     * @param slack repeats allowed besides, for this VM alone
+     * @param ratio retries allowed for each first attempt
+     * @param slack additional retries allowed for this VM
      */
     public boolean tryRetry(RetryKind kind, double ratio, double slack, long nowNanos) {
         advance(nowNanos);
-        if (sum(repeats) + 1 > kind.budgetPart() * (ratio * sum(firstAttempts) + slack)) {
+        if (sum(retries) + 1 > kind.budgetFraction() * (ratio * sum(firstAttempts) + slack)) {
             return false;
         }
-        repeats[index(currentSlice)]++;
+        retries[index(currentSlice)]++;
         return true;
     }
 
@@ -57,7 +57,7 @@
         while (currentSlice < slice) {
             currentSlice++;
             firstAttempts[index(currentSlice)] = 0;
-            repeats[index(currentSlice)] = 0;
+            retries[index(currentSlice)] = 0;
         }
     }
 
--- a/core/src/main/java/org/bronzelug/core/retry/RetryKind.java
+++ b/core/src/main/java/org/bronzelug/core/retry/RetryKind.java
@@ -1,21 +1,24 @@
 package org.bronzelug.core.retry;
 
-/** Why a request is sent again: it decides how much of the retry budget may be used. */
+/** Why a request is retried, which decides how much of the retry budget the retry may use. */
 public enum RetryKind {
-    /** No endpoint serves the request any more. */
+    /** The request is no longer being served by any endpoint. */
     REQUIRED(1),
 
-    /** Its endpoint would still serve it. */
+    /** The request's endpoint would still serve it. */
     BY_CHOICE(0.5);
 
-    private final double budgetPart;
+    private final double budgetFraction;
 
-    RetryKind(double budgetPart) {
-        this.budgetPart = budgetPart;
+    RetryKind(double budgetFraction) {
+        this.budgetFraction = budgetFraction;
     }
 
-    /** The part of the budget that all repeats may have used with one of this kind. */
-    double budgetPart() {
-        return budgetPart;
+    /**
+     * Returns the fraction of the budget that the retries of all kinds may have used, including one
+     * of this kind.
+     */
+    double budgetFraction() {
+        return budgetFraction;
     }
 }
--- a/core/src/main/java/org/bronzelug/core/retry/package-info.java
+++ b/core/src/main/java/org/bronzelug/core/retry/package-info.java
@@ -1,2 +1,2 @@
-/** How many requests may be sent again. */
+/** Bounds on the number of retried requests. */
 package org.bronzelug.core.retry;
--- a/core/src/test/java/org/bronzelug/core/retry/RetryBudgetTest.java
+++ b/core/src/test/java/org/bronzelug/core/retry/RetryBudgetTest.java
@@ -12,42 +12,43 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Callers see requests refused a second time while endpoints recover: all endpoints refuse at once,
- * every VM sends each request again, and the repeats are what keeps the endpoints full. The budget
- * holds the repeats to a part of the requests, in every window.
+ * Guards against retries that keep endpoints overloaded: when all endpoints reject requests at once
+ * and every VM retries each request, callers are rejected a second time although the endpoints
+ * would recover otherwise. The budget limits retries to a fraction of the requests in every window.
  */
 class RetryBudgetTest {
     private static final long WINDOW_NANOS = 10_000_000_000L;
     private static final long STEP_NANOS = 50_000_000L;
 
     @Property(seed = "11")
-    void noWindowHoldsMoreRepeatsThanItsRequestsAllow(
+    void noWindowHasMoreRetriesThanItsRequestsAllow(
             @ForAll @Size(min = 50, max = 600) List<@IntRange(min = 0, max = 4) Integer> arrivals,
             @ForAll @IntRange(min = 0, max = 20) int slack) {
         RetryBudget budget = new RetryBudget(WINDOW_NANOS);
-        List<Long> firsts = new ArrayList<>();
-        List<Long> repeats = new ArrayList<>();
+        List<Long> firstAttempts = new ArrayList<>();
+        List<Long> retries = new ArrayList<>();
         long nowNanos = 0;
         for (int arriving : arrivals) {
             nowNanos += STEP_NANOS;
             for (int request = 0; request < arriving; request++) {
                 budget.recordFirst(nowNanos);
-                firsts.add(nowNanos);
+                firstAttempts.add(nowNanos);
                 if (budget.tryRetry(RetryKind.REQUIRED, 0.2, slack, nowNanos)) {
-                    repeats.add(nowNanos);
+                    retries.add(nowNanos);
                 }
             }
             long start = nowNanos - WINDOW_NANOS;
-            long inWindow = repeats.stream().filter(at -> at > start).count();
-            // The first attempts of the window before this one's slices count as well.
-            long requests = firsts.stream().filter(at -> at > start - WINDOW_NANOS / 8).count();
+            long inWindow = retries.stream().filter(at -> at > start).count();
+            // The budget also counts first attempts shortly before the window, by whole slices.
+            long requests =
+                    firstAttempts.stream().filter(at -> at > start - WINDOW_NANOS / 8).count();
             assertThat((double) inWindow).isAtMost(0.2 * requests + slack);
         }
     }
 
     @ParameterizedTest
     @CsvSource({"0.2, 3, 10, 5", "0.2, 0, 10, 2", "0, 4, 100, 4"})
-    void grantsJustWhatTheRatioAndTheSlackAllow(
+    void grantsExactlyWhatRatioAndSlackAllow(
             double ratio, double slack, int requests, int expected) {
         RetryBudget budget = new RetryBudget(WINDOW_NANOS);
         for (int request = 0; request < requests; request++) {
@@ -61,26 +62,26 @@
     }
 
     /**
-     * Streams leave a runner that is to load weights, the next one refuses them, and callers see
-     * them break off, as no repeat is left.
+     * If streams that move away from a runner before it loads weights used up the budget, they
+     * would fail when the next runner rejects them, since no retry would be left.
      */
     @Property(seed = "12")
-    void requestsThatMoveByChoiceLeaveHalfOfTheBudgetToThoseThatMust(
+    void retriesByChoiceLeaveHalfOfTheBudgetForRequiredOnes(
             @ForAll @IntRange(max = 200) int requests, @ForAll @IntRange(max = 60) int slack) {
         RetryBudget budget = new RetryBudget(WINDOW_NANOS);
         for (int request = 0; request < requests; request++) {
             budget.recordFirst(0);
         }
-        int moved = 0;
+        int byChoice = 0;
         while (budget.tryRetry(RetryKind.BY_CHOICE, 0.2, slack, 1)) {
-            moved++;
+            byChoice++;
         }
-        int repeated = 0;
+        int required = 0;
         while (budget.tryRetry(RetryKind.REQUIRED, 0.2, slack, 1)) {
-            repeated++;
+            required++;
         }
-        assertThat(repeated).isAtLeast(moved);
-        assertThat(moved + repeated).isEqualTo((int) Math.floor(0.2 * requests + slack));
+        assertThat(required).isAtLeast(byChoice);
+        assertThat(byChoice + required).isEqualTo((int) Math.floor(0.2 * requests + slack));
     }
 
     @ParameterizedTest
