--- a/core/src/main/java/org/bronzelug/core/fairness/FairQueue.java
+++ b/core/src/main/java/org/bronzelug/core/fairness/FairQueue.java
@@ -8,23 +8,24 @@
 import java.util.function.Predicate;
 
 /**
- * Requests that wait for a runner, served fairly between teams by the work they bring.
+ * A queue of requests that wait for a runner, with fair queueing between teams by work.
  *
- * <p>Each team has a counter of the work served for it; the waiting team with the least goes next.
- * A team that comes back from idleness starts at the least counter of those who wait, so idleness
- * earns no credit. The failure this guards against: one team sends several times its share, and the
- * others wait behind its backlog; here they wait for one of its requests at most.
+ * <p>Each team has a counter of the work served for it; the next request is the oldest of the
+ * waiting team with the lowest counter. The virtual time is the highest counter at which a request
+ * has been served. A team that was idle continues at the virtual time if its counter is lower, so
+ * it earns no credit while idle. Without fair queueing, when one team sends several times its
+ * share, the others wait behind its backlog; with it, they wait for at most one of its requests.
  *
- * <p>Invariant: never more than the capacity waits. A full queue gives up a request of the team
- * with the longest backlog, its newest, for one of another team. Not thread-safe: guarded by its
- * owner.
+ * <p>Invariant: the queue never holds more requests than its capacity. When it is full, a request
+ * of another team replaces the newest request of the team with the longest backlog. Not
+ * thread-safe: guarded by its owner.
  *
- * @param <T> what waits
+ * @param <T> type of the requests
  */
 public final class FairQueue<T> {
     private final int capacity;
     private final Map<String, TeamBacklog<T>> teams = new HashMap<>();
-    private double floor;
+    private double virtualTime;
     private int size;
 
     public FairQueue(int capacity) {
@@ -34,41 +35,42 @@
     /**
      * Adds a request.
      *
-     * @return the request that the full queue gives up for it, which is the offered one itself
-     *     where its own team has the longest backlog; empty where there was room
+     * @param work cost of the request, in the same unit for all teams
+     * @return the request that is dropped because the queue is full, which is the offered one if
+     *     its own team has the longest backlog; empty if there was room
      */
     public Optional<T> offer(String team, T item, double work) {
         TeamBacklog<T> backlog = teams.computeIfAbsent(team, ignored -> new TeamBacklog<>());
-        Optional<T> givenUp = Optional.empty();
+        Optional<T> dropped = Optional.empty();
         if (size >= capacity) {
             TeamBacklog<T> longest = longestBacklog(backlog);
             if (longest == backlog) {
                 return Optional.of(item);
             }
-            givenUp = Optional.of(longest.waiting.removeLast().item);
+            dropped = Optional.of(longest.waiting.removeLast().item);
             size--;
         }
         if (backlog.waiting.isEmpty()) {
-            backlog.served = Math.max(backlog.served, floor);
+            backlog.servedWork = Math.max(backlog.servedWork, virtualTime);
         }
         backlog.waiting.addLast(new Waiting<>(item, work));
         size++;
-        return givenUp;
+        return dropped;
     }
 
-    /** Takes the next request in fair order. */
+    /** Removes and returns the next request in fair order. */
     public Optional<T> poll() {
         return poll(item -> true);
     }
 
-    /** Takes the next request in fair order among the teams whose first one can be served now. */
+    /** Removes and returns the next request among the teams whose oldest request is servable. */
     public Optional<T> poll(Predicate<T> servable) {
         TeamBacklog<T> next = null;
         for (TeamBacklog<T> backlog : teams.values()) {
             if (backlog.waiting.isEmpty() || !servable.test(backlog.waiting.peekFirst().item)) {
                 continue;
             }
-            if (next == null || backlog.served < next.served) {
+            if (next == null || backlog.servedWork < next.servedWork) {
                 next = backlog;
             }
         }
@@ -76,14 +78,14 @@
             return Optional.empty();
         }
         Waiting<T> first = next.waiting.removeFirst();
-        floor = Math.max(floor, next.served);
-        next.served += first.work;
+        virtualTime = Math.max(virtualTime, next.servedWork);
+        next.servedWork += first.work;
         size--;
-        forgetIdle();
+        removeIdleTeams();
         return Optional.of(first.item);
     }
 
-    /** Takes a request out, for example since its deadline passed. */
+    /** Removes a request, for example because its deadline has passed. */
     public boolean remove(String team, T item) {
         TeamBacklog<T> backlog = teams.get(team);
         boolean removed =
@@ -98,7 +100,7 @@
         return size;
     }
 
-    /** The team with the longest backlog; the one given where none has a longer one. */
+    /** Returns the longest backlog; the given one if no other is longer. */
     private TeamBacklog<T> longestBacklog(TeamBacklog<T> own) {
         TeamBacklog<T> longest = own;
         for (TeamBacklog<T> backlog : teams.values()) {
@@ -109,14 +111,16 @@
         return longest;
     }
 
-    private void forgetIdle() {
-        teams.values().removeIf(backlog -> backlog.waiting.isEmpty() && backlog.served <= floor);
+    private void removeIdleTeams() {
+        teams.values()
+                .removeIf(
+                        backlog -> backlog.waiting.isEmpty() && backlog.servedWork <= virtualTime);
     }
 
-    /** One team's requests, and the work served for it so far. */
+    /** One team's waiting requests, and the work served for the team so far. */
     private static final class TeamBacklog<T> {
         private final Deque<Waiting<T>> waiting = new ArrayDeque<>();
-        private double served;
+        private double servedWork;
     }
 
     /** A request and its work. */
--- a/core/src/main/java/org/bronzelug/core/fairness/package-info.java
+++ b/core/src/main/java/org/bronzelug/core/fairness/package-info.java
@@ -1,2 +1,2 @@
-/** Fair order between teams at the runners' door (DESIGN.md "Fairness"). */
+/** Fair queueing of the teams' requests that wait for a runner (DESIGN.md "Fairness"). */
 package org.bronzelug.core.fairness;
--- a/core/src/test/java/org/bronzelug/core/fairness/FairQueueTest.java
+++ b/core/src/test/java/org/bronzelug/core/fairness/FairQueueTest.java
@@ -14,14 +14,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One team's flood does not show in another's wait.
- *
- * <p>What the quiet team would see: its request waits behind hundreds of another's. The order: one
- * team fills the queue, then another sends one request. Why: first come is first served.
+ * Guards against one team's flood delaying the requests of other teams. If requests were served in
+ * order of arrival, and one team filled the queue before another sent a request, this request would
+ * wait behind hundreds of the first team's.
  */
 class FairQueueTest {
     @Property(seed = "7701")
-    void aQuietTeamWaitsForOneRequestOfEachOtherAtMost(
+    void quietTeamWaitsForAtMostOneRequestOfAnotherTeam(
             @ForAll @IntRange(min = 1, max = 200) int flood,
             @ForAll @IntRange(min = 0, max = 50) int servedBefore) {
         FairQueue<String> queue = new FairQueue<>(1_000);
@@ -40,7 +39,7 @@
     }
 
     @Property(seed = "7702")
-    void teamsThatAlwaysWaitGetEqualWork(@ForAll long seed) {
+    void backloggedTeamsGetEqualWork(@ForAll long seed) {
         Random random = new Random(seed);
         FairQueue<String> queue = new FairQueue<>(10_000);
         Map<String, Double> served = new HashMap<>();
@@ -55,13 +54,13 @@
             String next = queue.poll().orElseThrow();
             served.merge(next.substring(0, 2), workOf.get(next), Double::sum);
         }
-        double most = served.values().stream().mapToDouble(Double::doubleValue).max().orElse(0);
-        double least = served.values().stream().mapToDouble(Double::doubleValue).min().orElse(0);
-        assertThat(most - least).isAtMost(20.0);
+        double maximum = served.values().stream().mapToDouble(Double::doubleValue).max().orElse(0);
+        double minimum = served.values().stream().mapToDouble(Double::doubleValue).min().orElse(0);
+        assertThat(maximum - minimum).isAtMost(20.0);
     }
 
     @Test
-    void aFullQueueGivesUpTheNewestOfTheLongestBacklog() {
+    void fullQueueDropsTheNewestRequestOfTheLongestBacklog() {
         FairQueue<Integer> queue = new FairQueue<>(3);
         for (int index = 0; index < 3; index++) {
             assertThat(queue.offer("flood", index, 1)).isEqualTo(Optional.empty());
@@ -72,32 +71,33 @@
     }
 
     /**
-     * The VM would run out of memory. The order: many teams flood at once, each with a backlog
-     * shorter than the longest. Every request offered is served, waits, or is given up, once.
+     * Without the bound, a VM runs out of memory when many teams flood it at once, each with a
+     * backlog shorter than the longest. Every offered request must be served or dropped exactly
+     * once.
      */
     @Property(seed = "7703")
-    void neverHoldsMoreThanItsCapacityAndLosesNone(@ForAll long seed) {
+    void neverExceedsItsCapacityAndLosesNoRequest(@ForAll long seed) {
         Random random = new Random(seed);
         int capacity = 1 + random.nextInt(20);
         FairQueue<Integer> queue = new FairQueue<>(capacity);
-        List<Integer> left = new ArrayList<>();
+        List<Integer> removed = new ArrayList<>();
         for (int item = 0; item < 200; item++) {
             queue.offer("team-" + random.nextInt(8), item, 1 + random.nextInt(9))
-                    .ifPresent(left::add);
+                    .ifPresent(removed::add);
             if (random.nextInt(4) == 0) {
-                queue.poll().ifPresent(left::add);
+                queue.poll().ifPresent(removed::add);
             }
             assertThat(queue.size()).isAtMost(capacity);
         }
         for (Optional<Integer> next = queue.poll(); next.isPresent(); next = queue.poll()) {
-            left.add(next.get());
+            removed.add(next.get());
         }
-        assertThat(left).containsNoDuplicates();
-        assertThat(left).hasSize(200);
+        assertThat(removed).containsNoDuplicates();
+        assertThat(removed).hasSize(200);
     }
 
     @Test
-    void aRequestGivenUpLeavesTheQueue() {
+    void removedRequestLeavesTheQueue() {
         FairQueue<String> queue = new FairQueue<>(3);
         queue.offer("team", "one", 1);
         assertThat(queue.remove("team", "one")).isTrue();
