--- a/core/src/main/java/org/bronzelug/core/routing/CacheStore.java
+++ b/core/src/main/java/org/bronzelug/core/routing/CacheStore.java
@@ -1,10 +1,10 @@
 package org.bronzelug.core.routing;
 
 /**
- * A store that keeps prefixes' cache entries for all runners. Immutable.
+ * A store that holds the cache entries of prefixes for all runners. Immutable.
  *
- * @param name of the store
+ * @param name the store's name
  * @param address IP:PORT
- * @param availabilityZone where it runs
+ * @param availabilityZone the zone in which the store runs
  */
 public record CacheStore(String name, String address, String availabilityZone) {}
--- a/core/src/main/java/org/bronzelug/core/routing/EndpointEntry.java
+++ b/core/src/main/java/org/bronzelug/core/routing/EndpointEntry.java
@@ -3,15 +3,15 @@
 import java.util.Map;
 
 /**
- * What an endpoint says of itself in the platform's list. Immutable.
+ * An endpoint's own entry in the platform's list of endpoints. Immutable.
  *
- * @param id of this incarnation of the endpoint
- * @param pool that it serves
+ * @param id id of this incarnation of the endpoint
+ * @param pool the pool to which the endpoint belongs
  * @param address IP:PORT
- * @param availabilityZone where it runs
- * @param slots requests that it serves at once
- * @param draining whether it leaves and takes no new work
- * @param bornMillis when it started: another start under the same id has another value
+ * @param availabilityZone the zone in which the endpoint runs
+ * @param slots requests that the endpoint serves concurrently
+ * @param draining whether the endpoint is leaving and accepts no new requests
+ * @param bornMillis start time of the endpoint, which differs for another start under the same id
  * @param weights version of each model's weights, as of the entry's last change
  */
 public record EndpointEntry(
@@ -27,7 +27,7 @@
         weights = Map.copyOf(weights);
     }
 
-    /** Whether the other entry tells of the same start of the same endpoint. */
+    /** Returns whether the other entry describes the same start of the same endpoint. */
     public boolean isSameStart(EndpointEntry other) {
         return bornMillis == other.bornMillis && address.equals(other.address);
     }
--- a/core/src/main/java/org/bronzelug/core/routing/EngineLimits.java
+++ b/core/src/main/java/org/bronzelug/core/routing/EngineLimits.java
@@ -1,10 +1,10 @@
 package org.bronzelug.core.routing;
 
 /**
- * What a model engine bears. Immutable.
+ * The capacity of a model engine. Immutable.
  *
- * @param slots requests in one batch
+ * @param slots maximum number of requests in one batch
  * @param cacheTokens memory for running requests and cached prefixes, in tokens
- * @param cacheTokenBytes size of one token's entries, in bytes
+ * @param cacheTokenBytes size of the cache entries of one token, in bytes
  */
 public record EngineLimits(int slots, long cacheTokens, long cacheTokenBytes) {}
--- a/core/src/main/java/org/bronzelug/core/routing/RetryPolicy.java
+++ b/core/src/main/java/org/bronzelug/core/routing/RetryPolicy.java
@@ -1,11 +1,11 @@
 package org.bronzelug.core.routing;
 
-/** What may be done with a request whose outcome is unknown. Immutable. */
+/** How a request whose outcome is unknown may be retried. Immutable. */
 public enum RetryPolicy {
-    /** Idempotent: may run more than once. */
+    /** The request may run more than once. */
     IDEMPOTENT,
-    /** May run at most once; nothing of it may be repeated. */
+    /** The request may run at most once, so it must not be retried if it may have run. */
     AT_MOST_ONCE,
-    /** A stream that may go on at another endpoint after its last whole event. */
+    /** A stream that another endpoint can resume after the last complete event. */
     RESUMABLE
 }
--- a/core/src/main/java/org/bronzelug/core/routing/Route.java
+++ b/core/src/main/java/org/bronzelug/core/routing/Route.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * Where the requests of a host and path prefix go, and what is promised for them. Immutable.
+ * The pools and rules for requests with a given host and path prefix. Immutable.
  *
- * @param name unique in a configuration
+ * @param name unique within a configuration
  * @param host lower case, without a port
  * @param pathPrefix begins and ends with a slash
- * @param stream whether answers are events, forwarded as they arrive
- * @param repeat what may be repeated
+ * @param stream whether responses are streams of events, forwarded as they arrive
+ * @param repeat how requests may be retried
  * @param anonymous whether requests need no key
- * @param timeoutMillis the longest that a caller is kept waiting
- * @param goalMillis within which an answer is worth most: to the first event, where it streams
- * @param priority 0 goes first
- * @param maximumAttempts endpoints that one request may be sent to
- * @param pools who serves it; never empty
+ * @param timeoutMillis maximum time that a caller waits
+ * @param goalMillis target time of a response; for a stream, of its first event
+ * @param priority 0 is the most urgent
+ * @param maximumAttempts maximum number of endpoints to which one request is sent
+ * @param pools the pools that serve the route; never empty
  */
 public record Route(
         String name,
@@ -34,16 +34,16 @@
     }
 
     /**
-     * The pool for a request.
+     * Returns the name of the pool for a request, chosen at random by weight.
      *
-     * @param draw uniform in [0, 1)
+     * @param draw random number, uniform in [0, 1)
      */
     public String pool(double draw) {
         int total = pools.stream().mapToInt(WeightedPool::weight).sum();
-        double left = draw * total;
+        double remaining = draw * total;
         for (WeightedPool pool : pools) {
-            left -= pool.weight();
-            if (left < 0) {
+            remaining -= pool.weight();
+            if (remaining < 0) {
                 return pool.pool();
             }
         }
--- a/core/src/main/java/org/bronzelug/core/routing/RoutingConfiguration.java
+++ b/core/src/main/java/org/bronzelug/core/routing/RoutingConfiguration.java
@@ -12,7 +12,7 @@
 /**
  * One version of the whole configuration: routes, pools, teams and their keys.
  *
- * <p>Invariant: keys are held as digests only. Immutable.
+ * <p>Invariant: keys are stored only as digests. Immutable.
  */
 public final class RoutingConfiguration {
     private final long version;
@@ -24,8 +24,8 @@
     private final Map<KeyDigest, Team> teamsByKey;
 
     /**
-     * @param version grows with each change
-     * @param teamsByKey empty where requests need no key at all
+     * @param version increases with each change
+     * @param teamsByKey empty if no request needs a key
      */
     public RoutingConfiguration(
             long version,
@@ -59,7 +59,7 @@
         return limits;
     }
 
-    /** The route of the longest prefix that begins the path. */
+    /** Returns the host's route with the longest path prefix that matches the path. */
     public Optional<Route> route(String host, String path) {
         return routesByHost.getOrDefault(host, List.of()).stream()
                 .filter(route -> path.startsWith(route.pathPrefix()))
@@ -78,7 +78,7 @@
         return cacheStores.stream().findFirst();
     }
 
-    /** Whether requests need a team's key. */
+    /** Returns whether requests need a team's key. */
     public boolean needsKeys() {
         return !teams.isEmpty();
     }
--- a/core/src/main/java/org/bronzelug/core/routing/Team.java
+++ b/core/src/main/java/org/bronzelug/core/routing/Team.java
@@ -3,14 +3,14 @@
 import java.util.OptionalInt;
 
 /**
- * Who holds keys and a rate. Immutable.
+ * A team with its rate and priority; API keys belong to a team. Immutable.
  *
- * @param name as endpoints are told it
- * @param priority goes before the route's, where present
- * @param tokensPerSecond over all VMs together; 0: no limit
- * @param burstTokens what may come at once on top
- * @param plainTokens what a request without a token count counts as
- * @param dedicated whether it shares no cache entry with any other team
+ * @param name the name that is sent to endpoints
+ * @param priority takes precedence over the route's priority, if present
+ * @param tokensPerSecond rate over all VMs together; 0 for no limit
+ * @param burstTokens tokens that may be used at once in addition
+ * @param plainTokens tokens that are charged for a request without a token count
+ * @param dedicated whether the team shares no cache entry with any other team
  */
 public record Team(
         String name,
--- a/core/src/main/java/org/bronzelug/core/routing/package-info.java
+++ b/core/src/main/java/org/bronzelug/core/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Which pool serves a request, by whose key, under which limits: the configuration in force. */
+/** The configuration in force: routes, pools, teams with their keys, and limits. */
 package org.bronzelug.core.routing;
