--- a/core/src/main/java/org/bronzelug/core/limit/EndpointLimit.java
+++ b/core/src/main/java/org/bronzelug/core/limit/EndpointLimit.java
@@ -36,7 +36,7 @@
     private static final int MAXIMUM_SIZES = 64;
 
     /** A bucket filled above this fraction of its burst is about to lose what accrues. */
-    private static final double UNUSED_FRACTION = 0.9;
+    private static final double ALMOST_FULL_FRACTION = 0.9;
 
     private static final AdvertisedLimit NONE = new AdvertisedLimit.None();
 
@@ -120,7 +120,7 @@
             sizes.removeFirst();
         }
         if (elsewhere && size < minimumSize(nowNanos)) {
-            bucket.offer(UNITS_PER_REQUEST, nowNanos);
+            bucket.recordDemand(UNITS_PER_REQUEST, nowNanos);
             return false;
         }
         return bucket.tryAcquire(UNITS_PER_REQUEST, draw, nowNanos);
@@ -132,7 +132,7 @@
      */
     private long minimumSize(long nowNanos) {
         double demand = bucket.demandRate(nowNanos);
-        boolean isAlmostFull = bucket.level(nowNanos) > UNUSED_FRACTION * bucket.burst();
+        boolean isAlmostFull = bucket.level(nowNanos) > ALMOST_FULL_FRACTION * bucket.burst();
         if (isAlmostFull || demand <= bucket.rate()) {
             return 0;
         }
--- a/core/src/main/java/org/bronzelug/core/limit/FleetBucket.java
+++ b/core/src/main/java/org/bronzelug/core/limit/FleetBucket.java
@@ -18,12 +18,12 @@
  *
  * <p>An unreachable VM may still admit requests. Each VM therefore uses only the fraction of rate
  * and burst that equals the fraction of VMs that it can reach, itself included; a VM that reaches
- * no peer is left with its own equal fraction.
+ * none of its peers uses one n-th in a fleet of n VMs.
  *
- * <p>Invariant: the level is a function of the usage known for the last {@link #WINDOW_NANOS}, so
- * VMs that know the same usage have the same level, in whatever order they received it. Not
- * thread-safe: guarded by its owner. Amounts are tokens, times the local monotonic clock's
- * nanoseconds.
+ * <p>Invariant: the level is a function of rate, burst, reachable fraction and the usage known for
+ * the last {@link #WINDOW_NANOS}, so VMs that know the same usage have the same level, in whatever
+ * order they received it. Not thread-safe: guarded by its owner. Amounts are tokens, times the
+ * local monotonic clock's nanoseconds.
  */
 public final class FleetBucket {
     /** Longer than the windows over which compliance with a rate is checked. */
@@ -64,11 +64,11 @@
     /**
      * Takes the whole amount or nothing.
      *
-     * @param draw random number, uniform in [0, 1), that decides the admission when only a fraction
-     *     of the requests is admitted
+     * @param draw random number, uniform in [0, 1), that must be below the fraction of requests to
+     *     admit
      */
     public boolean tryAcquire(long amount, double draw, long nowNanos) {
-        offer(amount, nowNanos);
+        recordDemand(amount, nowNanos);
         double level = level(nowNanos);
         if (level < amount || draw >= admittedFraction(level, nowNanos)) {
             return false;
@@ -78,7 +78,7 @@
     }
 
     /** Records an amount as demand, whether or not it is admitted. */
-    public void offer(long amount, long nowNanos) {
+    public void recordDemand(long amount, long nowNanos) {
         offered += amount;
         ownDemand.add(amount, reachableFraction, nowNanos);
     }
--- a/core/src/main/java/org/bronzelug/core/limit/RateShares.java
+++ b/core/src/main/java/org/bronzelug/core/limit/RateShares.java
@@ -16,8 +16,8 @@
  * successor, with the tokens left; another VM may also take ownership without its cooperation.
  *
  * <p>Invariant: a bucket exists only on the VM that may use the claim of the team's group, and
- * after ownership is taken without a transfer it starts empty. Over all VMs, any interval of length
- * t therefore sees at most {@code rate * t + burst}.
+ * after ownership is taken without a transfer it starts empty. Therefore all VMs together admit at
+ * most {@code rate * t + burst} in any interval of length t.
  *
  * <p>The alternative, splitting each team's rate among several VMs, would reject requests that one
  * central bucket would admit, and would need transfers of tokens that can get lost (DESIGN.md
--- a/core/src/main/java/org/bronzelug/core/limit/UsageHistory.java
+++ b/core/src/main/java/org/bronzelug/core/limit/UsageHistory.java
@@ -96,9 +96,9 @@
 
     /** Returns the sum over the given last nanoseconds, rounded up to whole slots. */
     double sum(long nanos, long nowNanos) {
-        long first = Math.floorDiv(nowNanos - nanos, SLOT_NANOS);
+        long firstIndex = Math.floorDiv(nowNanos - nanos, SLOT_NANOS);
         return slots.stream()
-                .filter(slot -> slot.index >= first)
+                .filter(slot -> slot.index >= firstIndex)
                 .mapToDouble(slot -> slot.amount)
                 .sum();
     }
--- a/core/src/main/java/org/bronzelug/core/placement/PromptAdmission.java
+++ b/core/src/main/java/org/bronzelug/core/placement/PromptAdmission.java
@@ -25,7 +25,8 @@
     private static final long MINIMUM_RETRY_MILLIS = 700;
 
     /**
-     * Range of the random part of a retry delay, so that rejected callers retry at random times.
+     * Range of the random part of a retry delay, so that callers rejected together retry at
+     * different times.
      */
     private static final long SPREAD_MILLIS = 900;
 
--- a/core/src/main/java/org/bronzelug/core/placement/PromptUrgency.java
+++ b/core/src/main/java/org/bronzelug/core/placement/PromptUrgency.java
@@ -14,9 +14,9 @@
  */
 public final class PromptUrgency {
     /** The most urgent priority; 0 is unused. */
-    public static final int FIRST = 1;
+    public static final int MOST_URGENT = 1;
 
-    public static final int LAST = 9;
+    public static final int LEAST_URGENT = 9;
 
     /** Number of route ranks that are distinguished within one team rank. */
     private static final int ROUTE_RANKS = 3;
@@ -24,7 +24,7 @@
     private PromptUrgency() {}
 
     /**
-     * Returns the priority, between {@link #FIRST} (most urgent) and {@link #LAST}.
+     * Returns the priority, between {@link #MOST_URGENT} and {@link #LEAST_URGENT}.
      *
      * @param teamRank rank of the caller's team, 0 is the most urgent; empty if the team has none,
      *     so that the route's rank is used instead
@@ -33,7 +33,7 @@
     public static int of(OptionalInt teamRank, int routeRank) {
         int rank = Math.max(0, teamRank.orElse(routeRank));
         int withinRank = Math.clamp(routeRank, 0, ROUTE_RANKS - 1);
-        long priority = FIRST + (long) rank * ROUTE_RANKS + withinRank;
-        return (int) Math.min(LAST, priority);
+        long priority = MOST_URGENT + (long) rank * ROUTE_RANKS + withinRank;
+        return (int) Math.min(LEAST_URGENT, priority);
     }
 }
--- a/core/src/test/java/org/bronzelug/core/limit/EndpointLimitTest.java
+++ b/core/src/test/java/org/bronzelug/core/limit/EndpointLimitTest.java
@@ -32,7 +32,7 @@
         return new AdvertisedLimit.Rate(requestsPerSecond);
     }
 
-    /** Holds although VMs are replaced and reports between VMs are lost. */
+    /** The limit is kept although VMs are replaced and reports between VMs are lost. */
     @Property(seed = "31", tries = 80)
     void allVmsTogetherStayWithinTheLimit(
             @ForAll @IntRange(min = 2, max = 95) int vms,
--- a/core/src/test/java/org/bronzelug/core/limit/ModelledFleet.java
+++ b/core/src/test/java/org/bronzelug/core/limit/ModelledFleet.java
@@ -68,7 +68,7 @@
             vms.forEach(Vm::runRoundIfScheduled);
             for (double left = arrivalsPerMilli; left > 0; left--) {
                 if (random.nextDouble() < left) {
-                    ask(random.nextBoolean() ? LARGE_PROMPT : SMALL_PROMPT);
+                    sendRequest(random.nextBoolean() ? LARGE_PROMPT : SMALL_PROMPT);
                 }
             }
             while (!retries.isEmpty() && retries.peek().millis() <= millis) {
@@ -113,7 +113,7 @@
         return millis * NANOS_PER_MILLI;
     }
 
-    private void ask(int tokens) {
+    private void sendRequest(int tokens) {
         offered++;
         String id = "request-" + offered;
         if (centralBucket.reserve(id, tokens, nanos())) {
--- a/core/src/test/java/org/bronzelug/core/limit/RateSharesTest.java
+++ b/core/src/test/java/org/bronzelug/core/limit/RateSharesTest.java
@@ -81,12 +81,12 @@
         assertThat(reserve(shares, "s", 50, usableNanos)).isInstanceOf(Admission.OverRate.class);
     }
 
-    private static void take(RateShares of, long version, boolean hadHolder, long now) {
-        of.take(GROUP, version, hadHolder);
-        of.confirm(GROUP, version, now);
+    private static void take(RateShares vmShares, long version, boolean hadHolder, long now) {
+        vmShares.take(GROUP, version, hadHolder);
+        vmShares.confirm(GROUP, version, now);
     }
 
-    private static Admission reserve(RateShares of, String id, double amount, long now) {
-        return of.reserve(id, TEAM, RATE, amount, now, true);
+    private static Admission reserve(RateShares vmShares, String id, double amount, long now) {
+        return vmShares.reserve(id, TEAM, RATE, amount, now, true);
     }
 }
--- a/core/src/test/java/org/bronzelug/core/placement/LeastLoadTest.java
+++ b/core/src/test/java/org/bronzelug/core/placement/LeastLoadTest.java
@@ -12,9 +12,9 @@
 class LeastLoadTest {
     @ParameterizedTest
     @CsvSource({
-        "near idle stays near, 0, 5, false, near",
-        "near half full goes far, 3, 0, false, far",
-        "near suspect goes far, 0, 2, true, far",
+        "near idle chooses near, 0, 5, false, near",
+        "near half full chooses far, 3, 0, false, far",
+        "near suspect chooses far, 0, 2, true, far",
     })
     void prefersTheSameZoneUnlessHalfFullOrSuspect(
             String name, int nearRequests, int farRequests, boolean suspect, String expected) {
--- a/core/src/test/java/org/bronzelug/core/placement/PromptUrgencyTest.java
+++ b/core/src/test/java/org/bronzelug/core/placement/PromptUrgencyTest.java
@@ -39,8 +39,8 @@
     @Property(seed = "9202")
     void staysWithinTheRangeThatRunnersAccept(@ForAll int team, @ForAll int route) {
         for (OptionalInt rank : new OptionalInt[] {OptionalInt.empty(), OptionalInt.of(team)}) {
-            assertThat(PromptUrgency.of(rank, route)).isAtLeast(PromptUrgency.FIRST);
-            assertThat(PromptUrgency.of(rank, route)).isAtMost(PromptUrgency.LAST);
+            assertThat(PromptUrgency.of(rank, route)).isAtLeast(PromptUrgency.MOST_URGENT);
+            assertThat(PromptUrgency.of(rank, route)).isAtMost(PromptUrgency.LEAST_URGENT);
         }
     }
 
