--- a/router/src/main/java/org/bronzelug/router/fleet/FleetGossip.java
+++ b/router/src/main/java/org/bronzelug/router/fleet/FleetGossip.java
@@ -29,31 +29,36 @@
 import org.bronzelug.router.http.SocketSettings;
 
 /**
- * Sends this VM's state to peers by datagram and hears theirs. A lost one is made good by the next.
- * Confined to the control thread, but for start and stop.
+ * Exchanges state updates with the other VMs by datagram.
+ *
+ * <p>{@link #send} addresses up to {@link #PEERS_PER_ROUND} peers, so that one round reaches all
+ * peers of a small fleet, and several rounds, a turn, reach those of a large one. Datagrams are
+ * neither acknowledged nor sent again: each state update supersedes the previous one, so the next
+ * one makes up for a lost one.
+ *
+ * <p>Invariant: in each turn every peer is addressed once before any is addressed again. Confined
+ * to the control thread, except for start and stop.
  */
 public final class FleetGossip implements Service {
     public static final String NAME = "fleet-gossip";
 
-    /** The peers of a fleet that is small enough to be addressed whole in each round. */
+    /** Maximum number of peers of a VM in a small fleet, in which each round reaches all peers. */
     private static final int SMALL_FLEET_PEERS = 12;
 
-    /**
-     * Peers addressed in one round of a large fleet: each has its turn, which bounds the bytes of
-     * each VM.
-     */
+    /** Peers addressed in one round, which bounds the bytes that each VM sends in a large fleet. */
     private static final int PEERS_PER_ROUND = 24;
 
     private final EventLoop control;
     private final String address;
     private final BiConsumer<VmState, Long> onState;
-    private final Deque<String> turn = new ArrayDeque<>();
-    private final Map<String, InetSocketAddress> resolved = new HashMap<>();
+    private final Deque<String> turnQueue = new ArrayDeque<>();
+    private final Map<String, InetSocketAddress> resolvedAddresses = new HashMap<>();
     private Optional<Channel> channel = Optional.empty();
 
     /**
      * @param address IP:PORT that this VM listens on
-     * @param onState takes what peers say, and when it was heard
+     * @param onState receives the state updates of peers and the time of their arrival, by the
+     *     local monotonic clock
      */
     public FleetGossip(EventLoop control, String address, BiConsumer<VmState, Long> onState) {
         this.control = control;
@@ -82,30 +87,30 @@
         }
     }
 
-    /** Whether a fleet of so many VMs is addressed whole in each round. */
+    /** Returns whether a fleet of this many VMs is small, so that each round reaches all peers. */
     public static boolean isSmall(int vms) {
         return vms - 1 <= SMALL_FLEET_PEERS;
     }
 
-    /** Rounds until a fleet of so many VMs was addressed once. */
+    /** Returns the number of rounds that reach all peers once. */
     static int roundsPerTurn(int vms) {
         int peers = Math.max(1, vms - 1);
         return (peers + PEERS_PER_ROUND - 1) / PEERS_PER_ROUND;
     }
 
-    /** Sends the state to one peer, out of its turn. */
+    /** Sends the state to one peer at once, regardless of its turn. */
     public void sendTo(VmState state, String target) {
         channel.ifPresent(open -> write(open, state.toByteArray(), target));
     }
 
-    /** Sends the state to peers. */
+    /** Sends the state to the peers whose turn it is in this round. */
     public void send(VmState state, Iterable<String> addresses) {
-        List<String> targets = nextInTurn(addresses);
+        List<String> targets = nextTargets(addresses);
         byte[] bytes = state.toByteArray();
         channel.ifPresent(open -> targets.forEach(target -> write(open, bytes, target)));
     }
 
-    /** Sends to all peers at once. */
+    /** Sends the state to all peers at once. */
     public void sendToAll(VmState state, Set<String> addresses) {
         byte[] bytes = state.toByteArray();
         channel.ifPresent(
@@ -116,29 +121,30 @@
     }
 
     /**
-     * Each peer once before any is addressed again. A random choice would leave a third of a large
-     * fleet unheard for longer than a VM counts as alive.
+     * Returns the peers to address in this round, each once before any is addressed again. With a
+     * random choice, a third of a large fleet would receive no state update for longer than the
+     * time after which a VM is no longer considered live.
      */
-    private List<String> nextInTurn(Iterable<String> addresses) {
+    private List<String> nextTargets(Iterable<String> addresses) {
         Set<String> peers = new HashSet<>();
         addresses.forEach(peers::add);
         peers.remove(address);
-        turn.retainAll(peers);
-        if (turn.size() < PEERS_PER_ROUND) {
+        turnQueue.retainAll(peers);
+        if (turnQueue.size() < PEERS_PER_ROUND) {
             List<String> next = new ArrayList<>(peers);
-            next.removeAll(turn);
+            next.removeAll(turnQueue);
             Collections.shuffle(next);
-            turn.addAll(next);
+            turnQueue.addAll(next);
         }
         List<String> targets = new ArrayList<>();
-        while (targets.size() < PEERS_PER_ROUND && !turn.isEmpty()) {
-            targets.add(turn.pollFirst());
+        while (targets.size() < PEERS_PER_ROUND && !turnQueue.isEmpty()) {
+            targets.add(turnQueue.pollFirst());
         }
         return targets;
     }
 
     private void write(Channel open, byte[] bytes, String target) {
-        InetSocketAddress to = resolved.computeIfAbsent(target, SocketSettings::address);
+        InetSocketAddress to = resolvedAddresses.computeIfAbsent(target, SocketSettings::address);
         open.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to));
     }
 
@@ -147,7 +153,7 @@
         channel.ifPresent(Channel::close);
     }
 
-    /** Takes datagrams off the socket. */
+    /** Decodes the datagrams that arrive. */
     private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
@@ -164,7 +170,8 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // An unreachable peer is reported on the socket of the sender; the next round retries.
+            // The socket of the sender reports an unreachable peer; the next round sends to it
+            // again.
             EventLog.debug(LogEvent.PEER_UNREACHABLE, "cause=\"" + cause.getMessage() + "\"");
         }
     }
--- a/router/src/main/java/org/bronzelug/router/fleet/Member.java
+++ b/router/src/main/java/org/bronzelug/router/fleet/Member.java
@@ -3,9 +3,9 @@
 import org.bronzelug.api.fleet.v1.VmState;
 
 /**
- * A VM as last heard. Immutable.
+ * The last known state of another VM. Immutable.
  *
- * @param state what it said
- * @param receivedNanos when, by the local monotonic clock
+ * @param state the VM's last state update
+ * @param receivedNanos when it was received, by the local monotonic clock
  */
 public record Member(VmState state, long receivedNanos) {}
--- a/router/src/main/java/org/bronzelug/router/fleet/MemberTable.java
+++ b/router/src/main/java/org/bronzelug/router/fleet/MemberTable.java
@@ -13,25 +13,38 @@
 import org.bronzelug.api.fleet.v1.VmState;
 
 /**
- * The other VMs of the fleet, as heard.
+ * The other VMs of the fleet, as known from their state updates, and the addresses at which VMs may
+ * listen.
  *
- * <p>Invariant: of one incarnation only a later state replaces an earlier one, so a datagram that
- * was held up changes nothing. Confined to the control thread.
+ * <p>The table is also the failure detector. A VM is live while its last state update is younger
+ * than a timeout that covers several of its rounds in a small fleet, or two turns of the fleet in a
+ * large one. A VM that is no longer live still counts as possibly admitting requests until it
+ * expires after {@link #EXPIRY_NANOS}.
+ *
+ * <p>Invariant: within one incarnation of a VM, only a state update with a higher sequence number
+ * replaces an earlier one, so a delayed datagram changes nothing. Confined to the control thread.
  */
 public final class MemberTable {
     /**
-     * In a fleet that is addressed whole in each round of 150 ms: six datagrams in a row are lost,
-     * or their sender is silent.
+     * Minimum time without a state update after which a VM is not live. In a small fleet, where a
+     * VM sends to all peers in each round of 150 ms, six datagrams in a row were lost by then, or
+     * their sender is silent.
      */
-    private static final long LIVE_NANOS = 1_000_000_000L;
+    private static final long MINIMUM_LIVE_NANOS = 1_000_000_000L;
 
-    /** In a larger fleet: so many turns without a datagram, and a round's delay. */
+    /**
+     * Turns of a large fleet without a state update after which a VM is not live; one round is
+     * added for delay.
+     */
     private static final int SILENT_TURNS = 2;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** A VM silent for so long is not counted as one that may admit requests unheard. */
-    private static final long GONE_NANOS = 10_000_000_000L;
+    /**
+     * Time without a state update after which a VM no longer counts as one that may admit requests
+     * while it is unreachable.
+     */
+    private static final long EXPIRY_NANOS = 10_000_000_000L;
 
     private final String self;
     private final Map<String, Member> members = new HashMap<>();
@@ -42,24 +55,24 @@
     }
 
     /**
-     * Takes in what a VM says.
+     * Records a state update of a VM.
      *
-     * @return whether it is newer than what was known
+     * @return whether it is newer than what was known of the VM
      */
     public boolean update(VmState state, long nowNanos) {
         if (state.getVm().equals(self)) {
             return false;
         }
         Member known = members.get(state.getVm());
-        boolean older =
+        boolean outdated =
                 known != null
                         && known.state().getIncarnation().equals(state.getIncarnation())
                         && known.state().getSequence() >= state.getSequence();
-        if (older) {
+        if (outdated) {
             return false;
         }
         if (state.getCountsOnly()) {
-            return known != null && hearCounts(known, state, nowNanos);
+            return known != null && updateUsage(known, state, nowNanos);
         }
         members.put(state.getVm(), new Member(state, nowNanos));
         addresses.add(state.getPeersAddress());
@@ -67,38 +80,44 @@
         return true;
     }
 
-    /** Takes in some teams' and limits' counts; all else that the VM said stays as it was. */
-    private boolean hearCounts(Member known, VmState counts, long nowNanos) {
-        if (!known.state().getIncarnation().equals(counts.getIncarnation())) {
+    /**
+     * Merges an update that contains the usage of some teams and limits only; the rest of the VM's
+     * state is kept.
+     */
+    private boolean updateUsage(Member known, VmState usage, long nowNanos) {
+        if (!known.state().getIncarnation().equals(usage.getIncarnation())) {
             return false;
         }
         Map<String, TeamUse> teams = new LinkedHashMap<>();
         known.state().getTeamsList().forEach(use -> teams.put(use.getTeam(), use));
-        counts.getTeamsList().forEach(use -> teams.put(use.getTeam(), use));
+        usage.getTeamsList().forEach(use -> teams.put(use.getTeam(), use));
         Map<String, EndpointLimitUse> limits = new LinkedHashMap<>();
         long elapsedMillis = (nowNanos - known.receivedNanos()) / NANOS_PER_MILLI;
         for (EndpointLimitUse use : known.state().getLimitsList()) {
-            limits.put(use.getEndpoint(), aged(use, elapsedMillis));
+            limits.put(use.getEndpoint(), withAddedAge(use, elapsedMillis));
         }
-        counts.getLimitsList().forEach(use -> limits.put(use.getEndpoint(), use));
+        usage.getLimitsList().forEach(use -> limits.put(use.getEndpoint(), use));
         VmState merged =
                 known.state().toBuilder()
-                        .setSequence(counts.getSequence())
+                        .setSequence(usage.getSequence())
                         .clearTeams()
                         .addAllTeams(teams.values())
                         .clearLimits()
                         .addAllLimits(limits.values())
                         .build();
-        members.put(counts.getVm(), new Member(merged, nowNanos));
+        members.put(usage.getVm(), new Member(merged, nowNanos));
         return true;
     }
 
-    /** What was said earlier was seen as much earlier. */
-    private static EndpointLimitUse aged(EndpointLimitUse use, long elapsedMillis) {
+    /**
+     * Returns a limit's usage from an earlier state update with the time since then added to its
+     * age.
+     */
+    private static EndpointLimitUse withAddedAge(EndpointLimitUse use, long elapsedMillis) {
         return use.toBuilder().setSeenAgeMillis(use.getSeenAgeMillis() + elapsedMillis).build();
     }
 
-    /** An address at which a VM may listen. */
+    /** Adds an address at which a VM may listen. */
     public void addAddress(String address) {
         addresses.add(address);
     }
@@ -107,28 +126,35 @@
         return addresses;
     }
 
-    /** The VMs heard lately. */
+    /** Returns the VMs that are live. */
     public List<Member> live(long nowNanos) {
         int rounds = SILENT_TURNS * FleetGossip.roundsPerTurn(addresses.size()) + 1;
         return members.values().stream()
-                .filter(member -> nowNanos - member.receivedNanos() < liveNanos(member, rounds))
+                .filter(
+                        member ->
+                                nowNanos - member.receivedNanos()
+                                        < liveTimeoutNanos(member, rounds))
                 .toList();
     }
 
-    /** A VM that has little to tell sends seldom, and says how seldom. */
-    private static long liveNanos(Member member, int rounds) {
-        return Math.max(LIVE_NANOS, rounds * member.state().getRoundMillis() * NANOS_PER_MILLI);
+    /**
+     * Returns how long a VM is live after its last state update. An idle VM sends less often and
+     * states the period of its rounds.
+     */
+    private static long liveTimeoutNanos(Member member, int rounds) {
+        return Math.max(
+                MINIMUM_LIVE_NANOS, rounds * member.state().getRoundMillis() * NANOS_PER_MILLI);
     }
 
-    /** The incarnation of a VM that was heard last; empty where none was. */
+    /** Returns the last known incarnation of a VM; empty if no state update of it was received. */
     public Optional<String> incarnation(String vm) {
         return Optional.ofNullable(members.get(vm)).map(member -> member.state().getIncarnation());
     }
 
-    /** All VMs heard within the time after which a silent one counts as gone. */
+    /** Returns the VMs that have not expired, live or not. */
     public List<Member> notExpired(long nowNanos) {
         return members.values().stream()
-                .filter(member -> nowNanos - member.receivedNanos() < GONE_NANOS)
+                .filter(member -> nowNanos - member.receivedNanos() < EXPIRY_NANOS)
                 .toList();
     }
 
@@ -137,13 +163,14 @@
     }
 
     /**
-     * The part of the VMs that may admit requests which is heard, this one included. A VM that has
-     * heard nobody yet reckons with all whose addresses it knows.
+     * Returns the fraction of the VMs that may admit requests which is reachable; both numbers
+     * include this VM. Before the first state update arrives, all VMs whose addresses are known
+     * count as possibly admitting requests.
      */
     public double reachableFraction(long nowNanos) {
         int live = 1 + live(nowNanos).size();
-        int possible =
+        int admitting =
                 members.isEmpty() ? Math.max(1, addresses.size()) : 1 + notExpired(nowNanos).size();
-        return (double) live / possible;
+        return (double) live / admitting;
     }
 }
--- a/router/src/main/java/org/bronzelug/router/fleet/package-info.java
+++ b/router/src/main/java/org/bronzelug/router/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** The VMs of the fleet: who is heard, and what they tell. */
+/** Membership of the fleet: gossip of state updates and failure detection. */
 package org.bronzelug.router.fleet;
--- a/router/src/test/java/org/bronzelug/router/fleet/MemberTableTest.java
+++ b/router/src/test/java/org/bronzelug/router/fleet/MemberTableTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards against callers sent to dead VMs, and against VMs taken for dead between their rounds. */
+/**
+ * Guards against listing dead VMs for callers, and against taking VMs for dead between two of their
+ * rounds.
+ */
 class MemberTableTest {
     private static final long MILLI = 1_000_000L;
 
@@ -40,10 +43,10 @@
         "95, 600, 5300, true",
         "95, 600, 5500, false",
     })
-    void aVmIsLiveForTwoTurnsOfItsOwnRounds(
+    void vmIsLiveForTwoTurnsOfItsOwnRounds(
             int fleetSize, int roundMillis, long silentMillis, boolean live) {
         MemberTable table = fleet(fleetSize);
-        // Its address is one of those known already.
+        // The peer's address is among the known ones, so the fleet's size does not change.
         VmState peer =
                 state("vm", "first", 1, roundMillis).toBuilder().setPeersAddress("peer-1").build();
         assertThat(table.update(peer, 0)).isTrue();
@@ -59,28 +62,31 @@
                 .build();
     }
 
-    /** An old observation passes for a new one, and a limit that has ended comes back. */
+    /**
+     * Guards against an outdated limit that replaces the current one: a usage update that does not
+     * contain the limit must not make its observation look recent.
+     */
     @Test
-    void aLimitThatCountsDoNotMentionGetsOlder() {
+    void limitMissingFromAUsageUpdateKeepsAging() {
         MemberTable table = fleet(95);
-        VmState whole =
+        VmState full =
                 state("vm", "first", 1, 300).toBuilder()
                         .addLimits(limit("a", 100, 1_000))
                         .addLimits(limit("b", 100, 1_000))
                         .build();
-        table.update(whole, 0);
-        VmState counts =
+        table.update(full, 0);
+        VmState usage =
                 state("vm", "first", 2, 300).toBuilder()
                         .setCountsOnly(true)
                         .addLimits(limit("b", 50, 2_000))
                         .build();
-        assertThat(table.update(counts, 700 * MILLI)).isTrue();
+        assertThat(table.update(usage, 700 * MILLI)).isTrue();
         assertThat(table.live(700 * MILLI).get(0).state().getLimitsList())
                 .containsExactly(limit("a", 800, 1_000), limit("b", 50, 2_000));
     }
 
     @Test
-    void anEarlierStateThatArrivesLateIsDropped() {
+    void earlierStateUpdateThatArrivesLateIsIgnored() {
         MemberTable table = fleet(7);
         assertThat(table.update(state("vm", "first", 2, 150), 0)).isTrue();
         assertThat(table.update(state("vm", "first", 1, 150), MILLI)).isFalse();
