--- a/router/src/main/java/org/bronzelug/router/order/OrderOutcome.java
+++ b/router/src/main/java/org/bronzelug/router/order/OrderOutcome.java
@@ -1,13 +1,19 @@
 package org.bronzelug.router.order;
 
-/** What a runner says to an order. Immutable. */
+/** A runner's response to an order. Immutable. */
 public enum OrderOutcome {
-    /** It is being carried out. */
+    /** The runner carries out the order. */
     ACCEPTED,
     /** The runner has these weights already. */
     HOLDS,
-    /** Another order is under way, or one was taken meanwhile: ask and order again. */
+    /**
+     * The runner carries out another order, or has accepted one since its last report: get its
+     * report and order again.
+     */
     BUSY,
-    /** Refused for good: another runner at the address, an unknown version, an older fence. */
+    /**
+     * Rejected permanently: another runner at the address, an unknown version, or an older fencing
+     * token.
+     */
     REFUSED
 }
--- a/router/src/main/java/org/bronzelug/router/order/OrderService.java
+++ b/router/src/main/java/org/bronzelug/router/order/OrderService.java
@@ -30,27 +30,37 @@
 import org.bronzelug.router.traffic.WeightsTarget;
 
 /**
- * Brings the runners to the newest weights.
+ * Rolls out the target versions of weights by ordering runners to load them.
  *
- * <p>Invariant: orders are sent only under a lease that this VM renewed less than a second ago
- * ({@link OrderLease}); the VM that gave the last orders goes first for the next ones, so that no
- * wait is needed between two holders. Confined to the control thread.
+ * <p>All VMs run this service, but one of them at a time gives orders: the holder of the order
+ * lease ({@link OrderLease}), an object of the platform that is written conditionally on its
+ * revision and contains a fencing token. While any runner is behind its target version, a VM
+ * acquires the lease if it is free, renews it, and sends orders to the runners that {@link
+ * RolloutPlan} selects, each tracked by a {@link RunnerOrder}.
+ *
+ * <p>Invariant: a VM sends orders only while it holds the lease and requested its last confirmed
+ * renewal less than {@link OrderLease#VALID_MILLIS} ago. Where several VMs could acquire the lease,
+ * the previous holder goes first, since it need not wait for the lease to become free. Confined to
+ * the control thread.
  */
 public final class OrderService {
     private static final String LEASE_NAME = "weights";
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Renewed when so much of its validity has gone. */
+    /** Age of the last renewal from which the lease is renewed: half of its validity. */
     private static final long RENEW_MILLIS = OrderLease.VALID_MILLIS / 2;
 
-    /** How long each further VM waits for the ones before it to begin. */
-    private static final long RANK_MILLIS = 300;
+    /** Time that each VM leaves to every VM that precedes it in the order of acquisition. */
+    private static final long WAIT_PER_RANK_MILLIS = 300;
 
-    /** The VM that held the lease last has this long to begin, where it is heard. */
-    private static final long FORMER_HOLDER_MILLIS = 700;
+    /** Time that the other VMs leave to the previous holder, if it is reachable. */
+    private static final long PREVIOUS_HOLDER_WAIT_MILLIS = 700;
 
-    /** Wall clock and steady clock differ by more than this only if the VM slept or was set. */
-    private static final long SLEEP_MILLIS = 200;
+    /**
+     * Between two rounds, the wall clock and the monotonic clock differ by more than this only if
+     * the VM was suspended or its wall clock was set.
+     */
+    private static final long CLOCK_DIFFERENCE_MILLIS = 200;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -63,12 +73,12 @@
     private final Map<String, RunnerOrder> orders = new HashMap<>();
     private Map<String, Integer> load = Map.of();
     private Optional<OrderLease> lease = Optional.empty();
-    private long renewedSentNanos = Long.MIN_VALUE;
-    private long pendingSinceNanos;
-    private boolean pending;
-    private boolean asking;
-    private long lastNanos;
-    private long lastWallMillis;
+    private long renewalSentNanos = Long.MIN_VALUE;
+    private long rolloutPendingSinceNanos;
+    private boolean rolloutPending;
+    private boolean leaseRequestInFlight;
+    private long lastRoundNanos;
+    private long lastRoundWallMillis;
 
     public OrderService(
             EventLoop control,
@@ -86,26 +96,26 @@
         this.runners = runners;
     }
 
-    /** How runners are asked and ordered; futures complete on the control thread. */
+    /** Sends requests to runners; futures complete on the control thread. */
     public interface Runners {
-        /** What a runner says of itself, some hundred milliseconds old. */
+        /** Returns a runner's report, which may be some hundred milliseconds old. */
         CompletableFuture<RunnerReport> report(EndpointEntry runner);
 
         /** Orders a runner to load weights. */
         CompletableFuture<OrderOutcome> load(EndpointEntry runner, LoadOrder order);
     }
 
-    /** A kind's objects have changed. */
+    /** Updates the known lease after objects of a kind have changed. */
     public void onChange(String kind) {
         if (kind.equals(ControlState.LEASE_KIND)) {
             state.mirror(kind).items().stream()
                     .filter(item -> item.name().equals(LEASE_NAME))
                     .findFirst()
-                    .ifPresent(this::takeLease);
+                    .ifPresent(this::recordLease);
         }
     }
 
-    private void takeLease(StoredItem item) {
+    private void recordLease(StoredItem item) {
         if (lease.isPresent() && lease.get().revision() >= item.revision()) {
             return;
         }
@@ -127,12 +137,15 @@
         }
     }
 
-    /** Takes in the requests at each endpoint that answers this VM. */
+    /** Sets the requests of all VMs in flight at each endpoint that responds to this VM. */
     public void updateLoad(Map<String, Integer> requests) {
         load = requests;
     }
 
-    /** Asks a runner which weights it has, since it refused those believed of it. */
+    /**
+     * Requests a runner's report to find out which weights it has, after it rejected a request that
+     * expected other ones.
+     */
     public void queryWeights(String id) {
         EndpointEntry runner = state.endpoints().get(id);
         if (runner == null) {
@@ -148,20 +161,22 @@
                                 return;
                             }
                             report.weights()
-                                    .forEach((model, version) -> seen(runner, model, version));
+                                    .forEach(
+                                            (model, version) ->
+                                                    recordObservedWeights(runner, model, version));
                         });
     }
 
-    private void seen(EndpointEntry runner, String model, long version) {
+    private void recordObservedWeights(EndpointEntry runner, String model, long version) {
         state.endpointList().recordWeights(runner.id(), runner.bornMillis(), model, version);
     }
 
-    /** Ids of endpoints for which an order of this VM is under way. */
+    /** Returns the ids of the endpoints for which an order of this VM is in progress. */
     public Set<String> orderedEndpoints() {
         return orders.keySet();
     }
 
-    /** The orders under way, for the peers. */
+    /** Returns the orders in progress, for the state update to peers. */
     public List<OrderUnderWay> ordersInProgress() {
         List<OrderUnderWay> list = new ArrayList<>();
         long nowNanos = System.nanoTime();
@@ -175,63 +190,70 @@
         return list;
     }
 
-    /** One step: decides whether to take the lease, and gives the next orders. */
+    /**
+     * Runs one round: acquires or renews the lease if a runner is behind, and gives the next
+     * orders.
+     */
     public void round() {
         long nowNanos = System.nanoTime();
-        loseLeaseIfSlept(nowNanos);
+        dropLeaseIfSuspended(nowNanos);
         List<Rollout> rollouts = rollouts();
         orders.values().removeIf(order -> order.isOver(state.endpoints()));
         boolean behind = rollouts.stream().anyMatch(Rollout::isBehind);
         if (!behind) {
-            pending = false;
+            rolloutPending = false;
             return;
         }
-        if (!pending) {
-            pending = true;
-            pendingSinceNanos = nowNanos;
+        if (!rolloutPending) {
+            rolloutPending = true;
+            rolloutPendingSinceNanos = nowNanos;
         }
-        if (!ownsLease() || nowNanos - renewedSentNanos > RENEW_MILLIS * NANOS_PER_MILLI) {
-            askForLease(nowNanos);
+        if (!holdsLease() || nowNanos - renewalSentNanos > RENEW_MILLIS * NANOS_PER_MILLI) {
+            requestLease(nowNanos);
         }
-        if (ownsLease() && OrderLease.mayOrder(renewedSentNanos, nowNanos)) {
+        if (holdsLease() && OrderLease.mayOrder(renewalSentNanos, nowNanos)) {
             rollouts.forEach(this::advance);
         }
     }
 
     /**
-     * A VM that was suspended believes by its steady clock that its lease is still young. The wall
-     * clock went on meanwhile; where both differ, the lease counts as lost until it is renewed.
+     * Treats the lease as lost, until it is renewed, if the wall clock and the monotonic clock have
+     * advanced differently. The VM was suspended then, which may stop the monotonic clock alone, so
+     * an expired lease would still look valid by that clock.
      */
-    private void loseLeaseIfSlept(long nowNanos) {
+    private void dropLeaseIfSuspended(long nowNanos) {
         long wallMillis = System.currentTimeMillis();
-        long steady = (nowNanos - lastNanos) / NANOS_PER_MILLI;
-        boolean slept = Math.abs(wallMillis - lastWallMillis - steady) > SLEEP_MILLIS;
-        if (slept) {
-            renewedSentNanos = Long.MIN_VALUE;
+        long monotonicMillis = (nowNanos - lastRoundNanos) / NANOS_PER_MILLI;
+        boolean suspended =
+                Math.abs(wallMillis - lastRoundWallMillis - monotonicMillis)
+                        > CLOCK_DIFFERENCE_MILLIS;
+        if (suspended) {
+            renewalSentNanos = Long.MIN_VALUE;
         }
-        lastNanos = nowNanos;
-        lastWallMillis = wallMillis;
+        lastRoundNanos = nowNanos;
+        lastRoundWallMillis = wallMillis;
     }
 
-    private boolean ownsLease() {
-        return renewedSentNanos != Long.MIN_VALUE
+    private boolean holdsLease() {
+        return renewalSentNanos != Long.MIN_VALUE
                 && lease.filter(held -> held.incarnation().equals(incarnation)).isPresent();
     }
 
-    private void askForLease(long nowNanos) {
-        if (asking || !state.mirror(ControlState.LEASE_KIND).isKnown()) {
+    private void requestLease(long nowNanos) {
+        if (leaseRequestInFlight || !state.mirror(ControlState.LEASE_KIND).isKnown()) {
             return;
         }
         boolean free =
                 OrderLease.isFree(lease, settings.vm(), settings.bounds().leaseMillis(), nowNanos);
-        long waitedMillis = (nowNanos - pendingSinceNanos) / NANOS_PER_MILLI;
-        if (!free || waitedMillis < patienceMillis()) {
+        long waitedMillis = (nowNanos - rolloutPendingSinceNanos) / NANOS_PER_MILLI;
+        if (!free || waitedMillis < acquisitionWaitMillis()) {
             return;
         }
-        asking = true;
+        leaseRequestInFlight = true;
         long sentNanos = nowNanos;
-        boolean own = lease.filter(held -> held.incarnation().equals(incarnation)).isPresent();
-        long fence = own ? lease.get().fence() : lease.map(OrderLease::revision).orElse(0L) + 1;
+        boolean isHolder = lease.filter(held -> held.incarnation().equals(incarnation)).isPresent();
+        long fence =
+                isHolder ? lease.get().fence() : lease.map(OrderLease::revision).orElse(0L) + 1;
         byte[] content =
                 ("{\"holder\":\""
                                 + settings.vm()
@@ -251,36 +273,37 @@
                         : store.create(ControlState.LEASE_KIND, LEASE_NAME, content);
         written.whenComplete(
                 (item, failure) -> {
-                    asking = false;
+                    leaseRequestInFlight = false;
                     if (failure != null) {
                         EventLog.info(
                                 LogEvent.ORDER_LEASE_NOT_TAKEN,
                                 "cause=\"" + failure.getMessage() + "\"");
                         return;
                     }
-                    takeLease(item);
-                    renewedSentNanos = sentNanos;
-                    if (!own) {
+                    recordLease(item);
+                    renewalSentNanos = sentNanos;
+                    if (!isHolder) {
                         EventLog.info(LogEvent.ORDER_TAKEN, "lease=" + lease);
                     }
                 });
     }
 
-    /** How long this VM leaves the lease to those that should take it first. */
-    private long patienceMillis() {
-        String former = lease.map(OrderLease::holder).orElse("");
-        if (former.equals(settings.vm())) {
+    /** Returns how long this VM waits for the VMs that precede it in the order of acquisition. */
+    private long acquisitionWaitMillis() {
+        String previousHolder = lease.map(OrderLease::holder).orElse("");
+        if (previousHolder.equals(settings.vm())) {
             return 0;
         }
         List<String> names = new ArrayList<>();
         names.add(settings.vm());
-        boolean formerHeard = false;
+        boolean previousHolderReachable = false;
         for (Member member : members.live(System.nanoTime())) {
             names.add(member.state().getVm());
-            formerHeard |= member.state().getVm().equals(former);
+            previousHolderReachable |= member.state().getVm().equals(previousHolder);
         }
         int rank = Rendezvous.order(LEASE_NAME, names).indexOf(settings.vm());
-        return (formerHeard ? FORMER_HOLDER_MILLIS : 0) + rank * RANK_MILLIS;
+        return (previousHolderReachable ? PREVIOUS_HOLDER_WAIT_MILLIS : 0)
+                + rank * WAIT_PER_RANK_MILLIS;
     }
 
     private List<Rollout> rollouts() {
@@ -289,19 +312,21 @@
             return rollouts;
         }
         for (WeightsTarget target : state.weights().values()) {
-            List<EndpointEntry> holding = new ArrayList<>();
+            List<EndpointEntry> modelRunners = new ArrayList<>();
             for (EndpointEntry entry : state.endpoints().values()) {
-                boolean engine =
+                boolean runsModels =
                         state.configuration()
                                 .get()
                                 .pool(entry.pool())
                                 .flatMap(EndpointPool::engine)
                                 .isPresent();
-                if (engine && !entry.draining() && entry.weights().containsKey(target.model())) {
-                    holding.add(entry);
+                if (runsModels
+                        && !entry.draining()
+                        && entry.weights().containsKey(target.model())) {
+                    modelRunners.add(entry);
                 }
             }
-            rollouts.add(new Rollout(target, holding));
+            rollouts.add(new Rollout(target, modelRunners));
         }
         return rollouts;
     }
@@ -323,13 +348,13 @@
             orders.put(target.endpoint(), new RunnerOrder(runner, rollout.target));
         }
         for (RunnerOrder order : orders.values()) {
-            order.advance(runners, this::loadOrder, this::learned);
+            order.advance(runners, this::loadOrder, this::recordTargetWeights);
         }
     }
 
-    /** The order as it may be sent now; empty where the lease has run out meanwhile. */
+    /** Returns the order to send; empty if the lease has expired in the meantime. */
     private Optional<LoadOrder> loadOrder(WeightsTarget target, long expectedSequence) {
-        boolean valid = ownsLease() && OrderLease.mayOrder(renewedSentNanos, System.nanoTime());
+        boolean valid = holdsLease() && OrderLease.mayOrder(renewalSentNanos, System.nanoTime());
         return valid
                 ? Optional.of(
                         new LoadOrder(
@@ -341,11 +366,11 @@
                 : Optional.empty();
     }
 
-    private void learned(EndpointEntry runner, WeightsTarget target, long version) {
-        seen(runner, target.model(), version);
+    private void recordTargetWeights(EndpointEntry runner, WeightsTarget target, long version) {
+        recordObservedWeights(runner, target.model(), version);
     }
 
-    /** The runners of one model and what they are to have. */
+    /** The runners of one model and the target version of its weights. */
     private record Rollout(WeightsTarget target, List<EndpointEntry> runners) {
         private boolean isBehind() {
             return runners.stream()
--- a/router/src/main/java/org/bronzelug/router/order/RunnerOrder.java
+++ b/router/src/main/java/org/bronzelug/router/order/RunnerOrder.java
@@ -9,23 +9,32 @@
 import org.bronzelug.router.traffic.WeightsTarget;
 
 /**
- * One runner's way to new weights: asked what it has, ordered, asked again until it has them.
+ * The rollout of one version of weights to one runner: gets the runner's report, sends the order if
+ * the runner is behind and idle, and gets the report again until it shows the weights.
  *
- * <p>An order without an answer may be carried out seconds later. It is given again only while the
- * runner's count of orders is what it was, and names that count, so of the two one at most takes
- * effect. Confined to the control thread.
+ * <p>An order whose response was lost may still be carried out seconds later. Each order therefore
+ * contains the number of orders that the runner had accepted according to its last report, and the
+ * runner rejects an order with another number.
+ *
+ * <p>Invariant: of a lost order and its repetition at most one takes effect. The order is sent
+ * again only with the number from a new report: if the runner has accepted the lost order by then,
+ * the number has increased; if not, both orders contain the same number. Confined to the control
+ * thread.
  */
 final class RunnerOrder {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Often enough to notice the end of a load soon, seldom enough for a runner to answer. */
-    private static final long ASK_AGAIN_MILLIS = 250;
+    /**
+     * Interval of reports: short enough to notice the end of a load soon, long enough for a runner
+     * to respond.
+     */
+    private static final long REPORT_INTERVAL_MILLIS = 250;
 
     private final EndpointEntry runner;
     private final WeightsTarget target;
     private final long startNanos = System.nanoTime();
-    private boolean asking;
-    private long askedNanos = Long.MIN_VALUE;
+    private boolean callInFlight;
+    private long reportRequestNanos = Long.MIN_VALUE;
     private boolean finished;
 
     RunnerOrder(EndpointEntry runner, WeightsTarget target) {
@@ -37,72 +46,77 @@
         return (nowNanos - startNanos) / NANOS_PER_MILLI;
     }
 
-    /** Whether nothing is left to do: the weights are there, or the runner is not. */
+    /**
+     * Returns whether nothing is left to do: the runner has the weights, has restarted or was
+     * removed.
+     */
     boolean isOver(Map<String, EndpointEntry> endpoints) {
-        EndpointEntry now = endpoints.get(runner.id());
+        EndpointEntry current = endpoints.get(runner.id());
         return finished
-                || now == null
-                || !now.isSameStart(runner)
-                || now.weights().getOrDefault(target.model(), 0L) >= target.version();
+                || current == null
+                || !current.isSameStart(runner)
+                || current.weights().getOrDefault(target.model(), 0L) >= target.version();
     }
 
-    /** One step, unless an answer is awaited. */
+    /**
+     * Runs one step, unless a response is pending or the last report was requested too recently.
+     */
     void advance(
             OrderService.Runners runners,
             BiFunction<WeightsTarget, Long, Optional<LoadOrder>> orderFor,
-            Learner learner) {
+            WeightsListener weightsListener) {
         long nowNanos = System.nanoTime();
-        boolean early =
-                askedNanos != Long.MIN_VALUE
-                        && nowNanos - askedNanos < ASK_AGAIN_MILLIS * NANOS_PER_MILLI;
-        if (asking || early) {
+        boolean reportedRecently =
+                reportRequestNanos != Long.MIN_VALUE
+                        && nowNanos - reportRequestNanos < REPORT_INTERVAL_MILLIS * NANOS_PER_MILLI;
+        if (callInFlight || reportedRecently) {
             return;
         }
-        asking = true;
-        askedNanos = nowNanos;
+        callInFlight = true;
+        reportRequestNanos = nowNanos;
         runners.report(runner)
                 .whenComplete(
                         (report, failure) -> {
-                            asking = false;
+                            callInFlight = false;
                             if (failure != null) {
                                 log(LogEvent.ORDER_FAILED, failure.getMessage());
                                 return;
                             }
-                            reported(report, runners, orderFor, learner);
+                            onReport(report, runners, orderFor, weightsListener);
                         });
     }
 
-    private void reported(
+    private void onReport(
             RunnerReport report,
             OrderService.Runners runners,
             BiFunction<WeightsTarget, Long, Optional<LoadOrder>> orderFor,
-            Learner learner) {
+            WeightsListener weightsListener) {
         log(LogEvent.ORDER_WEIGHED, "target=" + target + " report=" + report);
-        boolean otherStart =
+        boolean restarted =
                 report.bornMillis().isPresent()
                         && report.bornMillis().getAsLong() != runner.bornMillis();
-        if (otherStart) {
+        if (restarted) {
             finished = true;
             return;
         }
         long version = report.weights().getOrDefault(target.model(), 0L);
         if (version >= target.version()) {
-            learner.learned(runner, target, version);
+            weightsListener.onWeights(runner, target, version);
             finished = true;
             return;
         }
         if (!report.busy()) {
-            orderFor.apply(target, report.sequence()).ifPresent(order -> give(order, runners));
+            orderFor.apply(target, report.sequence()).ifPresent(order -> sendOrder(order, runners));
         }
     }
 
-    private void give(LoadOrder order, OrderService.Runners runners) {
-        asking = true;
+    private void sendOrder(LoadOrder order, OrderService.Runners runners) {
+        callInFlight = true;
         log(LogEvent.ORDER_GIVEN, order.toString());
         runners.load(runner, order)
                 .whenComplete(
                         (outcome, failure) -> {
-                            asking = false;
+                            callInFlight = false;
                             if (failure != null) {
                                 log(LogEvent.ORDER_FAILED, failure.getMessage());
                             } else if (outcome != OrderOutcome.ACCEPTED) {
@@ -115,8 +129,8 @@
         EventLog.info(event, "runner=" + runner.id() + " " + detail);
     }
 
-    /** Takes in what a runner was found to have. */
-    interface Learner {
-        void learned(EndpointEntry runner, WeightsTarget target, long version);
+    /** Receives the version of weights that a report shows. */
+    interface WeightsListener {
+        void onWeights(EndpointEntry runner, WeightsTarget target, long version);
     }
 }
--- a/router/src/main/java/org/bronzelug/router/order/RunnerReport.java
+++ b/router/src/main/java/org/bronzelug/router/order/RunnerReport.java
@@ -4,12 +4,12 @@
 import java.util.OptionalLong;
 
 /**
- * What a runner says of itself. Immutable.
+ * A runner's report of its state. Immutable.
  *
- * @param bornMillis when it started, where it says so
- * @param busy whether an order is under way
- * @param sequence orders that it has taken since its start
- * @param weights version by model
+ * @param bornMillis the runner's start time, if it reports one
+ * @param busy whether the runner carries out an order
+ * @param sequence number of orders that the runner has accepted since its start
+ * @param weights loaded version by model
  */
 public record RunnerReport(
         OptionalLong bornMillis, boolean busy, long sequence, Map<String, Long> weights) {
--- a/router/src/main/java/org/bronzelug/router/order/package-info.java
+++ b/router/src/main/java/org/bronzelug/router/order/package-info.java
@@ -1,2 +1,2 @@
-/** Orders to runners. */
+/** Rollout of weights: orders to runners under a lease. */
 package org.bronzelug.router.order;
