--- a/router/src/main/java/org/bronzelug/router/store/ItemChanges.java
+++ b/router/src/main/java/org/bronzelug/router/store/ItemChanges.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What has changed since a revision, in order.
+ * The changes of a kind's objects after a revision, in order.
  *
  * @param changes the changes
- * @param revision from which the next watch goes on
+ * @param revision revision from which the next watch continues
  */
 public record ItemChanges(List<ItemChange> changes, long revision) {
     public ItemChanges {
@@ -14,10 +14,10 @@
     }
 
     /**
-     * One change.
+     * The change of one object.
      *
-     * @param item the object, as it is now or was last
-     * @param removed whether it is gone
+     * @param item the object in its current state, or in its last one if it was removed
+     * @param removed whether the object was removed
      */
     public record ItemChange(StoredItem item, boolean removed) {}
 }
--- a/router/src/main/java/org/bronzelug/router/store/ItemList.java
+++ b/router/src/main/java/org/bronzelug/router/store/ItemList.java
@@ -6,7 +6,7 @@
  * All objects of a kind.
  *
  * @param items the objects
- * @param revision of the platform when it answered: a watch goes on from there
+ * @param revision the platform's revision at the time of the list; a watch continues from it
  */
 public record ItemList(List<StoredItem> items, long revision) {
     public ItemList {
--- a/router/src/main/java/org/bronzelug/router/store/ObjectMirror.java
+++ b/router/src/main/java/org/bronzelug/router/store/ObjectMirror.java
@@ -13,46 +13,55 @@
 import java.util.Set;
 
 /**
- * One kind's objects as this VM knows them, from the platform or from a peer.
+ * This VM's copy of one kind's objects, filled from the platform or from a peer, and a bounded log
+ * of changes for peers that read from this VM.
  *
- * <p>Invariant: the revision never falls, and no object goes back to an older one. The failure this
- * prevents: a VM reads an older copy from a peer and brings a withdrawn key back. Confined to the
- * control thread.
+ * <p>Invariant: the revision never decreases, and a change never replaces an object by an older
+ * revision of it. Without this, a VM that reads an older copy from a peer makes a withdrawn key
+ * valid again. Confined to the control thread.
  */
 public final class ObjectMirror {
-    /** Some minutes of a large fleet's changes; a peer that lacks more gets all objects. */
-    private static final int MAXIMUM_LOGGED = 2_048;
+    /** Covers some minutes of a large fleet's changes; a peer that lacks more gets all objects. */
+    private static final int MAXIMUM_LOGGED_CHANGES = 2_048;
 
     private static final byte[] NO_CONTENT = new byte[0];
 
     private final Map<String, StoredItem> items = new HashMap<>();
-    private final Deque<LoggedChange> log = new ArrayDeque<>();
-    private long logStart;
+    private final Deque<LoggedChange> changeLog = new ArrayDeque<>();
+    private long logStartRevision;
     private long revision;
-    private long firstRevision;
+    private long firstListRevision;
 
-    /** Takes in a whole list; an older one than what is known is ignored. */
+    /**
+     * Replaces all objects by a list; ignores a list that is older than the known revision.
+     *
+     * @return whether any object has changed
+     */
     public boolean replaceAll(ItemList list) {
         if (list.revision() < revision) {
             return false;
         }
-        Map<String, StoredItem> newer = new HashMap<>();
+        Map<String, StoredItem> listed = new HashMap<>();
         for (StoredItem item : list.items()) {
-            newer.put(item.name(), item);
+            listed.put(item.name(), item);
         }
-        Set<String> changed = changedNames(newer);
+        Set<String> changed = changedNames(listed);
         items.clear();
-        items.putAll(newer);
+        items.putAll(listed);
         revision = list.revision();
-        if (firstRevision == 0) {
-            firstRevision = revision;
-            logStart = revision;
+        if (firstListRevision == 0) {
+            firstListRevision = revision;
+            logStartRevision = revision;
         }
-        changed.forEach(this::log);
+        changed.forEach(this::logChange);
         return !changed.isEmpty();
     }
 
-    /** Takes in changes; those up to an older revision than what is known are ignored. */
+    /**
+     * Applies changes; ignores those up to a revision that is older than the known one.
+     *
+     * @return whether any object has changed
+     */
     public boolean apply(ItemChanges changes) {
         if (changes.revision() < revision) {
             return false;
@@ -62,29 +71,29 @@
         for (ItemChanges.ItemChange change : changes.changes()) {
             if (apply(change)) {
                 changed = true;
-                log(change.item().name());
+                logChange(change.item().name());
             }
         }
         return changed;
     }
 
-    private void log(String name) {
-        log.addLast(new LoggedChange(revision, name));
-        if (log.size() > MAXIMUM_LOGGED) {
-            logStart = log.pollFirst().revision();
+    private void logChange(String name) {
+        changeLog.addLast(new LoggedChange(revision, name));
+        if (changeLog.size() > MAXIMUM_LOGGED_CHANGES) {
+            logStartRevision = changeLog.pollFirst().revision();
         }
     }
 
     /**
-     * What has changed since a revision; empty where that is not remembered, so that all objects
-     * must be told.
+     * Returns the changes after a revision; empty if they are no longer in the log, so that all
+     * objects must be sent.
      */
     public Optional<ItemChanges> changesSince(long sinceRevision) {
-        if (firstRevision == 0 || sinceRevision < logStart) {
+        if (firstListRevision == 0 || sinceRevision < logStartRevision) {
             return Optional.empty();
         }
         Set<String> names = new LinkedHashSet<>();
-        for (LoggedChange change : log) {
+        for (LoggedChange change : changeLog) {
             if (change.revision() > sinceRevision) {
                 names.add(change.name());
             }
@@ -112,10 +121,10 @@
         return true;
     }
 
-    private Set<String> changedNames(Map<String, StoredItem> newer) {
+    private Set<String> changedNames(Map<String, StoredItem> listed) {
         Set<String> changed = new HashSet<>(items.keySet());
-        changed.removeAll(newer.keySet());
-        for (StoredItem item : newer.values()) {
+        changed.removeAll(listed.keySet());
+        for (StoredItem item : listed.values()) {
             StoredItem known = items.get(item.name());
             if (known == null || known.revision() != item.revision()) {
                 changed.add(item.name());
@@ -124,7 +133,7 @@
         return changed;
     }
 
-    /** One object changed, or went, with the kind's revision after that. */
+    /** A change or removal of one object, with the kind's revision after it. */
     private record LoggedChange(long revision, String name) {}
 
     public Collection<StoredItem> items() {
@@ -136,14 +145,14 @@
     }
 
     /**
-     * Whether an object of this revision was changed after this VM began to watch the kind, so that
-     * its change is as old as this VM's knowledge of it; otherwise it may be of any age.
+     * Returns whether an object's revision is later than that of the first list, so that the object
+     * changed while this VM was watching the kind. An earlier change may be of any age.
      */
     public boolean isChangedSinceFirstList(long itemRevision) {
-        return firstRevision > 0 && itemRevision > firstRevision;
+        return firstListRevision > 0 && itemRevision > firstListRevision;
     }
 
-    /** Whether a list has ever been taken in. */
+    /** Returns whether a list has been applied. */
     public boolean isKnown() {
         return revision > 0;
     }
--- a/router/src/main/java/org/bronzelug/router/store/StoreException.java
+++ b/router/src/main/java/org/bronzelug/router/store/StoreException.java
@@ -1,6 +1,6 @@
 package org.bronzelug.router.store;
 
-/** A call to the platform did not do what was asked. */
+/** Thrown when a call to the platform has failed. */
 public final class StoreException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -15,15 +15,15 @@
         return problem;
     }
 
-    /** What the caller can do about it. */
+    /** The kind of failure, which determines how to proceed. */
     public enum Problem {
-        /** No answer, or one that says that nothing was done: try again later. */
+        /** No response, or one that says that nothing was done: retry later. */
         UNAVAILABLE,
-        /** The history asked for is gone: list again. */
+        /** The platform no longer has the changes after the requested revision: list again. */
         HISTORY_GONE,
-        /** Another one has changed the object: read it and decide anew. */
+        /** The object was created or changed concurrently: read it and decide again. */
         CONFLICT,
-        /** There is no such object. */
+        /** The object does not exist. */
         ABSENT
     }
 }
--- a/router/src/main/java/org/bronzelug/router/store/package-info.java
+++ b/router/src/main/java/org/bronzelug/router/store/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's objects: read, watched, written, and mirrored for peers. */
+/** The platform's object store and the mirrors of its objects. */
 package org.bronzelug.router.store;
--- a/router/src/test/java/org/bronzelug/router/store/ObjectMirrorTest.java
+++ b/router/src/test/java/org/bronzelug/router/store/ObjectMirrorTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A withdrawn key works again: a VM that the platform turns away reads an older copy from a peer
- * after it had the newer one.
+ * Guards against a withdrawn key that becomes valid again: a VM that the platform rejects reads an
+ * older copy of the objects from a peer after it had the newer one.
  */
 class ObjectMirrorTest {
     private static StoredItem item(String name, long revision) {
@@ -25,16 +25,17 @@
 
     @ParameterizedTest
     @CsvSource({"9, false, 10", "10, false, 10", "11, true, 11"})
-    void anOlderListChangesNothing(long revision, boolean changed, long expected) {
+    void olderListChangesNothing(long revision, boolean changed, long expected) {
         ObjectMirror mirror = new ObjectMirror();
         mirror.replaceAll(new ItemList(List.of(item("main", 10)), 10));
-        boolean taken = mirror.replaceAll(new ItemList(List.of(item("main", revision)), revision));
-        assertThat(taken).isEqualTo(changed);
+        boolean applied =
+                mirror.replaceAll(new ItemList(List.of(item("main", revision)), revision));
+        assertThat(applied).isEqualTo(changed);
         assertThat(mirror.items().iterator().next().revision()).isEqualTo(expected);
     }
 
     @Test
-    void anOlderChangeOfAnObjectIsIgnored() {
+    void olderChangeOfAnObjectIsIgnored() {
         ObjectMirror mirror = new ObjectMirror();
         mirror.replaceAll(new ItemList(List.of(item("main", 10)), 10));
         boolean changed =
@@ -44,7 +45,7 @@
     }
 
     @Test
-    void aRemovedObjectIsGone() {
+    void removedObjectIsNoLongerMirrored() {
         ObjectMirror mirror = new ObjectMirror();
         mirror.replaceAll(new ItemList(List.of(item("a", 1), item("b", 2)), 2));
         mirror.apply(new ItemChanges(List.of(new ItemChange(item("a", 3), true)), 3));
@@ -52,11 +53,12 @@
     }
 
     /**
-     * A peer follows this VM by changes alone. If one is left out, the peer goes on with an
-     * endpoint that has left, or a key that was withdrawn, and nothing corrects it.
+     * Guards against a missing change: a peer that polls this VM receives changes only, so without
+     * that change it would keep using a removed endpoint or a withdrawn key, and nothing would
+     * correct it.
      */
     @Property
-    void aPeerThatFollowsByChangesHasTheSameObjects(
+    void peerThatAppliesChangesHasTheSameObjects(
             @ForAll @Size(max = 60) List<@IntRange(max = 15) Integer> steps) {
         ObjectMirror mirror = new ObjectMirror();
         mirror.replaceAll(new ItemList(List.of(item("n0", 1)), 1));
@@ -80,7 +82,7 @@
     }
 
     @Test
-    void aPeerOfBeforeTheFirstListGetsAll() {
+    void peerFromBeforeTheFirstListNeedsAllObjects() {
         ObjectMirror mirror = new ObjectMirror();
         mirror.replaceAll(new ItemList(List.of(item("a", 3)), 5));
         assertThat(mirror.changesSince(4)).isEmpty();
