--- a/router/src/main/java/org/bronzelug/kernel/Service.java
+++ b/router/src/main/java/org/bronzelug/kernel/Service.java
@@ -1,13 +1,13 @@
 package org.bronzelug.kernel;
 
-/** A part of the daemon with a life of its own. Started and stopped by the {@link Kernel}. */
+/** A component of the process whose lifecycle the {@link Kernel} manages. */
 public interface Service {
-    /** The name by which other services find this one. */
+    /** Returns the name by which other services find this one. */
     String name();
 
-    /** Starts the service; those registered before it are running. */
+    /** Starts the service; the services registered before it are running. */
     void start() throws ServiceException;
 
-    /** Stops the service and frees what it holds; called once, also after a failed start. */
+    /** Stops the service and releases its resources; called once, also after a failed start. */
     void stop();
 }
--- a/router/src/main/java/org/bronzelug/kernel/ServiceException.java
+++ b/router/src/main/java/org/bronzelug/kernel/ServiceException.java
@@ -1,6 +1,6 @@
 package org.bronzelug.kernel;
 
-/** A service could not start; the message says what to mend. */
+/** Thrown when a service can't start; the message says what to correct. */
 public class ServiceException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/org/bronzelug/kernel/package-info.java
+++ b/router/src/main/java/org/bronzelug/kernel/package-info.java
@@ -1,2 +1,2 @@
-/** The micro-kernel: services with start and stop that find each other by name. */
+/** Services and the management of their lifecycle. */
 package org.bronzelug.kernel;
