--- a/router/src/main/java/org/bronzelug/router/stream/EventSplitter.java
+++ b/router/src/main/java/org/bronzelug/router/stream/EventSplitter.java
@@ -7,34 +7,35 @@
 import java.util.OptionalLong;
 
 /**
- * Cuts a stream of events (text/event-stream) into whole ones.
+ * Splits a stream of server-sent events (text/event-stream) into whole events.
  *
- * <p>The failure it prevents: a runner stops in the middle of an event, the stream goes on at
- * another runner, and the caller sees half an event joined to a whole one. Only whole events pass;
- * a half one is dropped, and so is one whose id has already passed. Confined to the traffic thread.
+ * <p>Only whole events are returned; a partial one is dropped, and so is one whose id is not
+ * greater than the last returned. Without this, a runner that stops in the middle of an event
+ * leaves the caller with a partial event joined to a whole one when the stream continues at another
+ * runner. Confined to the traffic thread.
  */
 public final class EventSplitter {
     private static final String ID_FIELD = "id:";
 
-    private ByteBuf pending = Unpooled.buffer();
+    private ByteBuf buffer = Unpooled.buffer();
     private OptionalLong lastId = OptionalLong.empty();
     private boolean gap;
 
-    /** Adds bytes as they arrive, and releases them. */
+    /** Adds the bytes of a buffer and releases the buffer. */
     public void add(ByteBuf data) {
-        pending.writeBytes(data);
+        buffer.writeBytes(data);
         data.release();
     }
 
-    /** The next whole event that has not passed yet; empty until more arrives. */
+    /** Returns the next whole event that was not returned before; empty until more bytes arrive. */
     public Optional<ByteBuf> next() {
         while (true) {
             int end = endOfEvent();
             if (end < 0) {
-                pending.discardReadBytes();
+                buffer.discardReadBytes();
                 return Optional.empty();
             }
-            ByteBuf event = pending.readBytes(end - pending.readerIndex());
+            ByteBuf event = buffer.readBytes(end - buffer.readerIndex());
             OptionalLong id = idOf(event);
             if (id.isPresent() && lastId.isPresent() && id.getAsLong() <= lastId.getAsLong()) {
                 event.release();
@@ -50,43 +51,43 @@
         return id.isPresent() && lastId.isPresent() && id.getAsLong() != lastId.getAsLong() + 1;
     }
 
-    /** Whether an event was missing between two that passed. */
+    /** Returns whether an id was missing between two returned events. */
     public boolean hasGap() {
         return gap;
     }
 
-    /** The id of the last event that passed. */
+    /** Returns the id of the last returned event. */
     public OptionalLong lastId() {
         return lastId;
     }
 
-    /** Whether half an event is held back. */
+    /** Returns whether a partial event is buffered. */
     public boolean holdsPart() {
-        return pending.isReadable();
+        return buffer.isReadable();
     }
 
-    /** Forgets half an event: its runner is gone. */
+    /** Drops a buffered partial event, whose runner will not complete it. */
     public void dropPart() {
-        pending.clear();
+        buffer.clear();
     }
 
     public void release() {
-        pending.release();
-        pending = Unpooled.EMPTY_BUFFER;
+        buffer.release();
+        buffer = Unpooled.EMPTY_BUFFER;
     }
 
     private int endOfEvent() {
-        int from = pending.readerIndex();
-        int to = pending.writerIndex();
+        int from = buffer.readerIndex();
+        int to = buffer.writerIndex();
         for (int index = from; index + 1 < to; index++) {
-            if (pending.getByte(index) != '\n') {
+            if (buffer.getByte(index) != '\n') {
                 continue;
             }
-            if (pending.getByte(index + 1) == '\n') {
+            if (buffer.getByte(index + 1) == '\n') {
                 return index + 2;
             }
-            boolean carriage = index + 2 < to && pending.getByte(index + 1) == '\r';
-            if (carriage && pending.getByte(index + 2) == '\n') {
+            boolean carriageReturn = index + 2 < to && buffer.getByte(index + 1) == '\r';
+            if (carriageReturn && buffer.getByte(index + 2) == '\n') {
                 return index + 3;
             }
         }
@@ -97,13 +98,13 @@
         String text = event.toString(StandardCharsets.UTF_8);
         for (String line : text.split("\n")) {
             if (line.startsWith(ID_FIELD)) {
-                return number(line.substring(ID_FIELD.length()).strip());
+                return parseId(line.substring(ID_FIELD.length()).strip());
             }
         }
         return OptionalLong.empty();
     }
 
-    private static OptionalLong number(String text) {
+    private static OptionalLong parseId(String text) {
         boolean digits = !text.isEmpty() && text.chars().allMatch(Character::isDigit);
         return digits && text.length() < 18
                 ? OptionalLong.of(Long.parseLong(text))
--- a/router/src/main/java/org/bronzelug/router/stream/package-info.java
+++ b/router/src/main/java/org/bronzelug/router/stream/package-info.java
@@ -1,2 +1,2 @@
-/** Event streams as they pass through. */
+/** Event streams from runners to callers. */
 package org.bronzelug.router.stream;
--- a/router/src/test/java/org/bronzelug/router/stream/EventSplitterTest.java
+++ b/router/src/test/java/org/bronzelug/router/stream/EventSplitterTest.java
@@ -14,8 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A caller sees an event twice, half, or not at all: its runner dies in the middle of an event and
- * the stream goes on at another runner, which starts a little earlier or later.
+ * Guards against events that a caller receives twice, partially or not at all: a runner dies in the
+ * middle of an event, and the stream continues at another runner, which starts a little earlier or
+ * later.
  */
 class EventSplitterTest {
     private static String event(int id) {
@@ -30,7 +31,7 @@
         return text.toString();
     }
 
-    private static String pass(EventSplitter splitter, String text) {
+    private static String passThrough(EventSplitter splitter, String text) {
         splitter.add(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
         StringBuilder passed = new StringBuilder();
         for (Optional<ByteBuf> event = splitter.next();
@@ -43,7 +44,7 @@
     }
 
     @Property(seed = "14")
-    void theStreamIsWholeWhereverItBreaksAndHoweverItIsCut(
+    void streamIsCompleteForAnyBreakAndAnySplitIntoBuffers(
             @ForAll @IntRange(min = 1, max = 20) int count,
             @ForAll @IntRange(min = 0, max = 600) int breakAt,
             @ForAll @IntRange(min = 0, max = 3) int repeated,
@@ -55,22 +56,22 @@
         int at = 0;
         for (int cut : cuts) {
             int end = Math.min(first.length(), at + cut);
-            passed.append(pass(splitter, first.substring(at, end)));
+            passed.append(passThrough(splitter, first.substring(at, end)));
             at = end;
         }
-        passed.append(pass(splitter, first.substring(at)));
+        passed.append(passThrough(splitter, first.substring(at)));
         splitter.dropPart();
         int last = (int) splitter.lastId().orElse(0);
-        passed.append(pass(splitter, events(Math.max(1, last + 1 - repeated), count)));
+        passed.append(passThrough(splitter, events(Math.max(1, last + 1 - repeated), count)));
         assertThat(passed.toString()).isEqualTo(whole);
         assertThat(splitter.hasGap()).isFalse();
         splitter.release();
     }
 
     @Test
-    void aMissingEventIsNoticed() {
+    void missingEventIsReportedAsGap() {
         EventSplitter splitter = new EventSplitter();
-        pass(splitter, event(1) + event(3));
+        passThrough(splitter, event(1) + event(3));
         assertThat(splitter.hasGap()).isTrue();
         splitter.release();
     }
