--- a/router/src/main/java/org/bronzelug/router/settings/FleetBounds.java
+++ b/router/src/main/java/org/bronzelug/router/settings/FleetBounds.java
@@ -1,16 +1,17 @@
 package org.bronzelug.router.settings;
 
 /**
- * What the fleet as a whole must keep to, from its operators. Immutable.
+ * Bounds that the fleet as a whole must keep, set by its operators. Immutable.
  *
- * @param retryRatio requests sent again, for each sent at first
- * @param retryWindowSeconds over which repeats are counted
- * @param retrySlack repeats allowed besides in each window, over all VMs
- * @param leastVms VMs that share the slack even where fewer are known
- * @param leaseMillis between orders of two VMs to one runner
- * @param graceMillis from the request to stop until the process is ended by force
- * @param weightsMillis after which no request begins on older weights
- * @param changeMillis within which a change of the configuration must be in force everywhere
+ * @param retryRatio maximum ratio of retries to first attempts
+ * @param retryWindowSeconds time window over which retries are counted
+ * @param retrySlack retries allowed in each window in addition to the ratio, over all VMs
+ * @param leastVms minimum number of VMs among which the slack is divided, also if fewer are known
+ * @param leaseMillis minimum time between orders of two VMs to the same runner
+ * @param graceMillis time from the request to stop until the process is killed
+ * @param weightsMillis time after the publication of a version of weights from which no request
+ *     begins on older weights
+ * @param changeMillis time within which a change of the configuration must be in force everywhere
  */
 public record FleetBounds(
         double retryRatio,
--- a/router/src/main/java/org/bronzelug/router/settings/VmSettings.java
+++ b/router/src/main/java/org/bronzelug/router/settings/VmSettings.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What one VM is told at its start. Immutable.
+ * The settings of one VM, read at its start. Immutable.
  *
- * @param vm its name
- * @param availabilityZone where it runs
- * @param callersAddress where it takes callers, IP:PORT
- * @param peersAddress where it takes peers' datagrams and reads, IP:PORT
- * @param seedAddresses where peers may listen; some may be wrong
+ * @param vm name of the VM
+ * @param availabilityZone where the VM runs
+ * @param callersAddress where the VM serves callers, IP:PORT
+ * @param peersAddress where the VM receives state updates and reads of peers, IP:PORT
+ * @param seedAddresses addresses where peers may listen; some may be wrong
  * @param fleetStarts whether the whole fleet starts for the first time
- * @param bounds of the fleet
+ * @param bounds bounds of the fleet
  */
 public record VmSettings(
         String vm,
--- a/router/src/main/java/org/bronzelug/router/settings/package-info.java
+++ b/router/src/main/java/org/bronzelug/router/settings/package-info.java
@@ -1,2 +1,2 @@
-/** What the router's process is told at its start. */
+/** The settings of the router's process, read at its start. */
 package org.bronzelug.router.settings;
