--- a/router/src/main/java/org/bronzelug/router/metrics/RouterMetrics.java
+++ b/router/src/main/java/org/bronzelug/router/metrics/RouterMetrics.java
@@ -11,7 +11,10 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 
-/** What the router counts and times; no key ever becomes a name. Thread-safe. */
+/**
+ * Counters, latency histograms and gauges of the router. No key becomes part of a metric's name.
+ * Thread-safe.
+ */
 public final class RouterMetrics {
     private static final int SAMPLES = 512;
     private static final long NANOS_PER_MICRO = 1_000;
@@ -19,8 +22,8 @@
     private final MetricRegistry registry = new MetricRegistry();
     private final Counter arrived = registry.counter("requests_arrived");
     private final Counter overRate = registry.counter("requests_over_rate");
-    private final Histogram routing = histogram("routing_micros");
-    private final Histogram whole = histogram("request_millis");
+    private final Histogram routingTimes = histogram("routing_micros");
+    private final Histogram requestTimes = histogram("request_millis");
 
     private Histogram histogram(String name) {
         return registry.register(name, new Histogram(new UniformReservoir(SAMPLES)));
@@ -34,37 +37,39 @@
         overRate.inc();
     }
 
-    /** The router refused a request as not run. */
+    /** Counts a request that was rejected and has not run. */
     public void refused(int status) {
         registry.counter("requests_refused_" + status).inc();
     }
 
-    /** The router gave a request up that may have run. */
+    /** Counts a request that was abandoned although it may have run. */
     public void failed(int status) {
         registry.counter("requests_failed_" + status).inc();
     }
 
-    /** From a request's arrival until it was handed to an endpoint's connections. */
+    /**
+     * Records the time from a request's arrival until it is passed to an endpoint's connections.
+     */
     public void routed(long nanos) {
-        routing.update(nanos / NANOS_PER_MICRO);
+        routingTimes.update(nanos / NANOS_PER_MICRO);
     }
 
-    /** From a request's arrival to the last byte of its answer. */
+    /** Records the time from a request's arrival to the last byte of its response. */
     public void finished(long millis) {
-        whole.update(millis);
+        requestTimes.update(millis);
     }
 
-    /** Counts an event of the control side. */
+    /** Increments a counter of the control plane. */
     public void count(String name) {
         registry.counter(name).inc();
     }
 
-    /** Shows a value that is read when the metrics are. */
+    /** Registers a gauge, whose value is read each time the metrics are read. */
     public void gauge(String name, Supplier<Number> value) {
         registry.register(name, (Gauge<Number>) value::get);
     }
 
-    /** All figures as lines of name and value. */
+    /** Returns all metrics as lines of name and value. */
     public String text() {
         Map<String, Object> lines = new TreeMap<>();
         registry.getCounters().forEach((name, counter) -> lines.put(name, counter.getCount()));
