--- a/router/src/main/java/org/bronzelug/router/control/ControlService.java
+++ b/router/src/main/java/org/bronzelug/router/control/ControlService.java
@@ -102,8 +102,8 @@
 
     /**
      * Returns the assumed age of weights that were published before this VM started. The VM can't
-     * know their publication time, so it assumes that requests may begin on older weights for only
-     * {@link #INITIAL_WEIGHTS_MILLIS} more.
+     * know when they were published, so it assumes that requests may begin on weights older than
+     * those for only {@link #INITIAL_WEIGHTS_MILLIS} more.
      */
     private static long initialWeightsAgeNanos(VmSettings settings) {
         long millis = Math.max(0, settings.bounds().weightsMillis() - INITIAL_WEIGHTS_MILLIS);
@@ -244,8 +244,8 @@
     }
 
     /**
-     * Sends all VMs the usage of teams that are near their limit, and of endpoints that advertise
-     * one. Without this, a flood is admitted at several times its team's rate: in a large fleet
+     * Sends all VMs the usage of teams that are near their limit and of endpoints that advertise a
+     * limit. Without this, a flood is admitted at several times its team's rate: in a large fleet
      * each VM sends to any other VM only about once a second, and until then all of them together
      * admit it.
      */
--- a/router/src/main/java/org/bronzelug/router/control/ControlState.java
+++ b/router/src/main/java/org/bronzelug/router/control/ControlState.java
@@ -120,20 +120,20 @@
         for (StoredItem item : mirror(decoder.endpointKind()).items()) {
             decoder.endpoint(item).ifPresent(entry -> listed.put(entry.id(), entry));
         }
-        Map<String, EndpointEntry> before = endpoints.entries();
+        Map<String, EndpointEntry> previous = endpoints.entries();
         endpoints.update(listed, System.nanoTime());
-        logEndpointChanges(before, endpoints.entries());
+        logEndpointChanges(previous, endpoints.entries());
     }
 
     private static void logEndpointChanges(
-            Map<String, EndpointEntry> before, Map<String, EndpointEntry> now) {
-        for (EndpointEntry entry : now.values()) {
-            if (!entry.equals(before.get(entry.id()))) {
+            Map<String, EndpointEntry> previous, Map<String, EndpointEntry> current) {
+        for (EndpointEntry entry : current.values()) {
+            if (!entry.equals(previous.get(entry.id()))) {
                 EventLog.info(LogEvent.RUNNER_UP, "endpoint=" + entry);
             }
         }
-        for (EndpointEntry entry : before.values()) {
-            if (!now.containsKey(entry.id())) {
+        for (EndpointEntry entry : previous.values()) {
+            if (!current.containsKey(entry.id())) {
                 EventLog.info(LogEvent.RUNNER_DOWN, "endpoint=" + entry);
             }
         }
--- a/router/src/main/java/org/bronzelug/router/control/PeerFeed.java
+++ b/router/src/main/java/org/bronzelug/router/control/PeerFeed.java
@@ -59,17 +59,17 @@
      *     kind
      */
     CompletableFuture<SmallResponse> changesResponse(QueryStringDecoder query) {
-        Map<String, Long> known = new HashMap<>();
+        Map<String, Long> knownRevisions = new HashMap<>();
         long waitMillis = 0;
         for (Map.Entry<String, List<String>> parameter : query.parameters().entrySet()) {
             long number = number(parameter.getValue());
             if (parameter.getKey().equals(WAIT_PARAMETER)) {
                 waitMillis = Math.min(MAXIMUM_WAIT_MILLIS, number);
             } else {
-                known.put(parameter.getKey(), number);
+                knownRevisions.put(parameter.getKey(), number);
             }
         }
-        PendingPoll poll = new PendingPoll(known, new CompletableFuture<>());
+        PendingPoll poll = new PendingPoll(knownRevisions, new CompletableFuture<>());
         boolean hasChanges = state.kinds().stream().anyMatch(poll::lacks);
         if (hasChanges || waitMillis <= 0 || pendingPolls.size() >= MAXIMUM_PENDING_POLLS) {
             respond(poll);
@@ -112,7 +112,7 @@
         for (String kind : state.kinds()) {
             ObjectMirror mirror = state.mirror(kind);
             if (mirror.isKnown()) {
-                changes.addKinds(changes(kind, mirror, poll.known.getOrDefault(kind, 0L)));
+                changes.addKinds(changes(kind, mirror, poll.knownRevisions.getOrDefault(kind, 0L)));
             }
         }
         poll.response.complete(
@@ -151,11 +151,12 @@
 
     /** A poll of a peer that waits for changes after the revisions that the peer has. */
     private final class PendingPoll {
-        private final Map<String, Long> known;
+        private final Map<String, Long> knownRevisions;
         private final CompletableFuture<SmallResponse> response;
 
-        private PendingPoll(Map<String, Long> known, CompletableFuture<SmallResponse> response) {
-            this.known = known;
+        private PendingPoll(
+                Map<String, Long> knownRevisions, CompletableFuture<SmallResponse> response) {
+            this.knownRevisions = knownRevisions;
             this.response = response;
         }
 
@@ -164,7 +165,7 @@
          */
         private boolean lacks(String kind) {
             ObjectMirror mirror = state.mirror(kind);
-            long revision = known.getOrDefault(kind, 0L);
+            long revision = knownRevisions.getOrDefault(kind, 0L);
             return mirror.isKnown()
                     && mirror.revision() > revision
                     && mirror.changesSince(revision)
--- a/router/src/main/java/org/bronzelug/router/control/PlatformReading.java
+++ b/router/src/main/java/org/bronzelug/router/control/PlatformReading.java
@@ -370,17 +370,17 @@
     /** A peer that is polled for changes until it is closed. */
     private final class PolledPeer {
         private final String address;
-        private final HttpCaller caller;
+        private final HttpCaller connection;
         private boolean closed;
 
         private PolledPeer(String address) {
             this.address = address;
-            this.caller = peerReader.connect(address);
+            this.connection = peerReader.connect(address);
         }
 
         private void poll() {
             peerReader
-                    .read(caller, POLL_MILLIS)
+                    .read(connection, POLL_MILLIS)
                     .whenComplete((nothing, failure) -> onPollResponse(failure));
         }
 
@@ -400,7 +400,7 @@
 
         private void close() {
             closed = true;
-            caller.close();
+            connection.close();
         }
     }
 }
--- a/router/src/main/java/org/bronzelug/router/order/RunnerOrder.java
+++ b/router/src/main/java/org/bronzelug/router/order/RunnerOrder.java
@@ -16,9 +16,9 @@
  * contains the number of orders that the runner had accepted according to its last report, and the
  * runner rejects an order with another number.
  *
- * <p>Invariant: of a lost order and its repetition at most one takes effect. The order is sent
- * again only with the number from a new report: if the runner has accepted the lost order by then,
- * the number has increased; if not, both orders contain the same number. Confined to the control
+ * <p>Invariant: of a lost order and its retry at most one takes effect. The order is sent again
+ * only with the number from a new report: if the runner has accepted the lost order by then, the
+ * number has increased; if not, both orders contain the same number. Confined to the control
  * thread.
  */
 final class RunnerOrder {
--- a/router/src/test/java/org/bronzelug/router/control/EndpointListTest.java
+++ b/router/src/test/java/org/bronzelug/router/control/EndpointListTest.java
@@ -16,9 +16,17 @@
     private static final long MILLI = 1_000_000L;
     private static final long OUTAGE_END = 10_000 * MILLI;
 
-    private static EndpointEntry entry(String id, boolean draining, long born, long version) {
+    private static EndpointEntry entry(
+            String id, boolean draining, long startMillis, long version) {
         return new EndpointEntry(
-                id, "pool", "10.0.0.1:80", "zone", 6, draining, born, Map.of("model", version));
+                id,
+                "pool",
+                "10.0.0.1:80",
+                "zone",
+                6,
+                draining,
+                startMillis,
+                Map.of("model", version));
     }
 
     private static Map<String, EndpointEntry> listed(EndpointEntry entry) {
