--- a/router/src/main/java/org/bronzelug/router/endpoint/EndpointConnection.java
+++ b/router/src/main/java/org/bronzelug/router/endpoint/EndpointConnection.java
@@ -113,7 +113,7 @@
             return;
         }
         headSeen = true;
-        reusable &= answer.keepsOpen();
+        reusable &= answer.keepAlive();
         answer.idleMillis().ifPresent(millis -> idleLimitMillis = millis);
         listener.ifPresent(hearing -> hearing.onHead(answer, response));
     }
--- a/router/src/main/java/org/bronzelug/router/endpoint/EndpointResponse.java
+++ b/router/src/main/java/org/bronzelug/router/endpoint/EndpointResponse.java
@@ -16,7 +16,7 @@
  * @param limit on the requests of all VMs together, as long as answers name it
  * @param weightsVersion that generates the answer
  * @param idleMillis for how long the endpoint keeps the connection open between requests
- * @param keepsOpen whether the connection takes another request afterwards
+ * @param keepAlive whether the connection takes another request afterwards
  */
 public record EndpointResponse(
         int status,
@@ -28,7 +28,7 @@
         AdvertisedLimit limit,
         OptionalLong weightsVersion,
         OptionalLong idleMillis,
-        boolean keepsOpen) {
+        boolean keepAlive) {
     private static final int SUCCESS = 200;
     private static final int FIRST_REDIRECT = 300;
     private static final int FIRST_SERVER_ERROR = 500;
--- a/router/src/main/java/org/bronzelug/router/exchange/Admitted.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/AdmittedRequest.java
@@ -16,7 +16,7 @@
  * @param configurationVersion that decided
  * @param arrivedNanos when it had arrived whole, by the local monotonic clock
  */
-record Admitted(
+record AdmittedRequest(
         RequestHead head,
         Route route,
         Optional<Team> team,
--- a/router/src/main/java/org/bronzelug/router/exchange/Attempts.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Attempts.java
@@ -18,12 +18,12 @@
     private static final int MAXIMUM_SENDS = 3;
 
     private final TrafficState state;
-    private final Admitted admitted;
+    private final AdmittedRequest admitted;
     private final Set<String> sentTo = new HashSet<>();
     private int sends;
     private int uncertainSends;
 
-    Attempts(TrafficState state, Admitted admitted) {
+    Attempts(TrafficState state, AdmittedRequest admitted) {
         this.state = state;
         this.admitted = admitted;
     }
@@ -52,7 +52,7 @@
     }
 
     /** Whether a request that ran nowhere may be sent to one more endpoint; takes the budget. */
-    boolean tryAfterRefusal() {
+    boolean tryAfterRejection() {
         return sends < MAXIMUM_SENDS && takeRetry(RetryKind.REQUIRED);
     }
 
--- a/router/src/main/java/org/bronzelug/router/exchange/EndpointRequests.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/EndpointRequestBuilder.java
@@ -24,15 +24,15 @@
  * runs on that version only. The failure this prevents: a runner fetches entries that another one
  * made under older weights, and generates from a memory that does not fit.
  */
-final class EndpointRequests {
+final class EndpointRequestBuilder {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final TrafficState state;
     private final WireFormat wire;
-    private final Admitted admitted;
+    private final AdmittedRequest admitted;
     private boolean saving;
 
-    EndpointRequests(TrafficState state, WireFormat wire, Admitted admitted) {
+    EndpointRequestBuilder(TrafficState state, WireFormat wire, AdmittedRequest admitted) {
         this.state = state;
         this.wire = wire;
         this.admitted = admitted;
@@ -78,7 +78,7 @@
                 runner.flatMap(choice -> state.configuration())
                         .flatMap(RoutingConfiguration::cacheStore)
                         .map(CacheStore::address);
-        saving = runner.map(choice -> state.choice().isToBeSaved(choice, nowNanos)).orElse(false);
+        saving = runner.map(choice -> state.choice().shouldSave(choice, nowNanos)).orElse(false);
         return new Dispatch(
                 admitted.head().id(),
                 endpoint.entry().id(),
--- a/router/src/main/java/org/bronzelug/router/exchange/EndpointSelection.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/EndpointSelection.java
@@ -15,17 +15,17 @@
 /**
  * Selects the endpoint for the next attempt of a request, and rejects prompts under overload.
  *
- * <p>Invariant: an endpoint is chosen at most once, until {@link #forgetTried}. Confined to the
+ * <p>Invariant: an endpoint is chosen at most once, until {@link #clearTried}. Confined to the
  * traffic thread.
  */
 final class EndpointSelection {
     /** Of the most urgent routes. */
-    private static final int FIRST_RANK = 0;
+    private static final int HIGHEST_PRIORITY = 0;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final TrafficState state;
-    private final Admitted admitted;
+    private final AdmittedRequest admitted;
     private final Set<String> tried = new HashSet<>();
     private final Set<EndpointState> limited = new HashSet<>();
     private Optional<RunnerChoice> runner = Optional.empty();
@@ -33,7 +33,7 @@
     private Optional<EndpointLimit> taken = Optional.empty();
     private boolean sent;
 
-    EndpointSelection(TrafficState state, Admitted admitted) {
+    EndpointSelection(TrafficState state, AdmittedRequest admitted) {
         this.state = state;
         this.admitted = admitted;
     }
@@ -57,7 +57,8 @@
         double draw = ThreadLocalRandom.current().nextDouble();
         boolean takes =
                 limit.isEmpty()
-                        || limit.get().tryAcquire(size(), hasUnlimited(nowNanos), draw, nowNanos);
+                        || limit.get()
+                                .tryAcquire(size(), hasUnlimitedEndpoint(nowNanos), draw, nowNanos);
         if (takes) {
             taken = limit;
         }
@@ -70,11 +71,11 @@
     }
 
     /** Whether the request can go to an endpoint that has named no limit. */
-    private boolean hasUnlimited(long nowNanos) {
-        return state.endpoints().takingWork(admitted.pool().orElseThrow().name()).stream()
+    private boolean hasUnlimitedEndpoint(long nowNanos) {
+        return state.endpoints().acceptingRequests(admitted.pool().orElseThrow().name()).stream()
                 .filter(endpoint -> isAllowed(endpoint.entry().id()))
                 .filter(endpoint -> !endpoint.isSuspect(nowNanos))
-                .filter(endpoint -> !endpoint.isLoading(nowNanos))
+                .filter(endpoint -> !endpoint.isExpectedToReject(nowNanos))
                 .anyMatch(endpoint -> endpoint.limit().filter(EndpointLimit::isNamed).isEmpty());
     }
 
@@ -116,7 +117,7 @@
         }
         runner =
                 state.choice()
-                        .byPrefix(
+                        .chooseRunner(
                                 pool.name(),
                                 prompt.get(),
                                 admitted.wall(),
@@ -152,7 +153,7 @@
             return OptionalLong.empty();
         }
         return PromptAdmission.retryAfterMillis(
-                admitted.route().priority() == FIRST_RANK,
+                admitted.route().priority() == HIGHEST_PRIORITY,
                 admitted.route().goalMillis(),
                 state.choice().waitNanos(runner.get()),
                 ThreadLocalRandom.current().nextDouble());
@@ -164,7 +165,7 @@
     }
 
     /** All endpoints may be chosen again, as some time has passed. */
-    void forgetTried() {
+    void clearTried() {
         tried.clear();
     }
 
--- a/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
@@ -43,17 +43,17 @@
     private static final long DEADLINE_GRACE_MILLIS = 150;
 
     /** Retry after a refusal for want of endpoints: a runner is back, or replaced, in a second. */
-    private static final long NO_ENDPOINT_MILLIS = 250;
+    private static final long NO_ENDPOINT_RETRY_MILLIS = 250;
 
     /** Plain calls take a sixth of their goal; one that takes twice the goal is stuck. */
-    private static final int OVERDUE_GOALS = 2;
+    private static final int STALLED_GOAL_MULTIPLE = 2;
 
     /**
      * Half of the gap between events that callers bear at least, in steps of a datagram's round.
      */
-    private static final int MAXIMUM_RESUME_PAUSES = 7;
+    private static final int MAXIMUM_RESUME_DELAYS = 7;
 
-    private static final long RESUME_PAUSE_MILLIS = 150;
+    private static final long RESUME_DELAY_MILLIS = 150;
 
     private final EventLoop traffic;
     private final TrafficState state;
@@ -61,12 +61,12 @@
     private final RouterMetrics metrics;
     private final FullHttpRequest request;
     private final CallerConnection caller;
-    private final Admitted admitted;
+    private final AdmittedRequest admitted;
     private final ResponseRelay relay;
-    private int resumePauses;
+    private int resumeDelays;
     private final EndpointSelection selection;
     private final Attempts attempts;
-    private final EndpointRequests requests;
+    private final EndpointRequestBuilder requests;
     private final PrefillProgress prefill;
     private final SilenceWatch silence;
     private final ExchangeLog log;
@@ -85,7 +85,7 @@
             RouterMetrics metrics,
             FullHttpRequest request,
             CallerConnection caller,
-            Admitted admitted) {
+            AdmittedRequest admitted) {
         this.traffic = traffic;
         this.state = state;
         this.wire = wire;
@@ -95,9 +95,9 @@
         this.admitted = admitted;
         this.selection = new EndpointSelection(state, admitted);
         this.attempts = new Attempts(state, admitted);
-        this.requests = new EndpointRequests(state, wire, admitted);
+        this.requests = new EndpointRequestBuilder(state, wire, admitted);
         this.prefill = new PrefillProgress(state, admitted);
-        this.silence = new SilenceWatch(traffic, this::leaveSilent);
+        this.silence = new SilenceWatch(traffic, this::moveIfStalled);
         this.log = new ExchangeLog(admitted);
         this.relay = new ResponseRelay(caller, wire, admitted.route());
     }
@@ -131,13 +131,13 @@
         }
         endpoint = selection.choose(nowNanos);
         if (endpoint.isEmpty()) {
-            giveUpUnplaced(nowNanos);
+            abandonUnplaced(nowNanos);
             return;
         }
         OptionalLong retryAfterMillis = selection.retryAfterMillis();
         if (retryAfterMillis.isPresent()) {
             endpoint = Optional.empty();
-            refuseUnrun(
+            rejectNotRun(
                     "runners are full, queued="
                             + Math.round(selection.runner().orElseThrow().queuedTokens()),
                     retryAfterMillis.getAsLong());
@@ -161,7 +161,7 @@
         call = Optional.of(chosen.connections().send(copy, admitted.head().id(), this, nowNanos));
     }
 
-    private void giveUpUnplaced(long nowNanos) {
+    private void abandonUnplaced(long nowNanos) {
         OptionalLong limitMillis = selection.limitRetryMillis(nowNanos);
         if (limitMillis.isPresent()) {
             metrics.count("requests_past_endpoint_limits");
@@ -183,7 +183,7 @@
         long nowNanos = System.nanoTime();
         if (requests.isExpired(nowNanos)) {
             selection.refund(nowNanos);
-            leaveEndpoint();
+            endAttempt();
             giveUp(DEADLINE_PASSED);
             return false;
         }
@@ -194,7 +194,7 @@
     @Override
     public void onUnreachable(String cause) {
         selection.refund(System.nanoTime());
-        EndpointState failed = leaveEndpoint();
+        EndpointState failed = endAttempt();
         failed.recordFailure(System.nanoTime());
         log.moved(failed, attempts.sends(), "unreachable: " + cause);
         dispatch();
@@ -208,8 +208,8 @@
     @Override
     public void onHead(EndpointResponse answer, HttpResponse response) {
         EndpointState answering = endpoint.orElseThrow();
-        answering.recordAnswer(answer);
-        answering.heard(System.nanoTime());
+        answering.recordResponse(answer);
+        answering.recordActivity(System.nanoTime());
         prefill.answered(answering, answer);
         if (answer.notExecuted() || answer.status() == MISDIRECTED) {
             onNotExecuted(answer);
@@ -218,18 +218,18 @@
         boolean spoiled = answer.isSuccess() && !answer.genuine();
         boolean failed = spoiled || answer.isServerError();
         if (failed) {
-            Optional<EndpointState> other = takeOther(RetryKind.REQUIRED);
+            Optional<EndpointState> other = chooseForRetry(RetryKind.REQUIRED);
             if (other.isPresent()) {
                 cancelCall();
                 answering.recordFailure(System.nanoTime());
-                log.moved(leaveEndpoint(), attempts.sends(), "answered " + answer.status());
+                log.moved(endAttempt(), attempts.sends(), "answered " + answer.status());
                 send(other.get(), System.nanoTime());
                 return;
             }
         }
         if (spoiled) {
             cancelCall();
-            leaveEndpoint().recordFailure(System.nanoTime());
+            endAttempt().recordFailure(System.nanoTime());
             fail(BAD_GATEWAY, "the endpoint's answer is not genuine");
             return;
         }
@@ -239,7 +239,7 @@
     /** The endpoint states that nothing ran: the request may go elsewhere, within the budget. */
     private void onNotExecuted(EndpointResponse answer) {
         cancelCall();
-        EndpointState refusing = leaveEndpoint();
+        EndpointState refusing = endAttempt();
         attempts.recordNotExecuted(refusing);
         if (answer.status() == MISDIRECTED) {
             refusing.markWeightsUnknown(System.nanoTime());
@@ -247,7 +247,7 @@
             refusing.recordFailure(System.nanoTime());
         }
         log.moved(refusing, attempts.sends(), "not executed, status " + answer.status());
-        if (!relay.hasBegun() && attempts.tryAfterRefusal()) {
+        if (!relay.hasBegun() && attempts.tryAfterRejection()) {
             dispatch();
         } else {
             giveUp("endpoints refuse, last with " + answer.status());
@@ -257,7 +257,7 @@
     @Override
     public void onData(ByteBuf data) {
         long nowNanos = System.nanoTime();
-        endpoint.ifPresent(answering -> answering.heard(nowNanos));
+        endpoint.ifPresent(answering -> answering.recordActivity(nowNanos));
         if (firstNanos == 0) {
             firstNanos = nowNanos;
         }
@@ -265,7 +265,7 @@
         prefill.received(wholePrompt, requests.isSaving(), nowNanos);
         if (!relay.data(data)) {
             cancelCall();
-            leaveEndpoint();
+            endAttempt();
             caller.abort();
             finish("broken", "an event of the stream is missing");
         }
@@ -273,7 +273,7 @@
 
     @Override
     public void onComplete() {
-        leaveEndpoint();
+        endAttempt();
         if (relay.complete()) {
             finish(String.valueOf(relay.status()), "complete");
         } else {
@@ -283,7 +283,7 @@
 
     @Override
     public void onBroken(String cause) {
-        EndpointState broken = leaveEndpoint();
+        EndpointState broken = endAttempt();
         broken.recordFailure(System.nanoTime());
         if (relay.hasBegun()) {
             resumeOrAbort(cause);
@@ -316,17 +316,17 @@
      * to load at the same moment and refused it, and its caller saw it break off although both
      * runners took requests again within a second. Callers bear a gap of two seconds and more.
      */
-    private boolean waitToResume() {
-        if (!relay.canResume() || resumePauses >= MAXIMUM_RESUME_PAUSES) {
+    private boolean scheduleResume() {
+        if (!relay.canResume() || resumeDelays >= MAXIMUM_RESUME_DELAYS) {
             return false;
         }
-        resumePauses++;
-        selection.forgetTried();
-        traffic.schedule(this::tryToResume, RESUME_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        resumeDelays++;
+        selection.clearTried();
+        traffic.schedule(this::resume, RESUME_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         return true;
     }
 
-    private void tryToResume() {
+    private void resume() {
         if (done) {
             return;
         }
@@ -337,18 +337,18 @@
         }
     }
 
-    private void leaveSilent() {
-        if (endpoint.filter(waiting -> isOverdue(waiting, System.nanoTime())).isPresent()) {
-            moveOn("endpoint is silent", RetryKind.REQUIRED);
+    private void moveIfStalled() {
+        if (endpoint.filter(waiting -> isStalled(waiting, System.nanoTime())).isPresent()) {
+            moveToOther("endpoint is silent", RetryKind.REQUIRED);
         }
     }
 
-    private boolean isOverdue(EndpointState waiting, long nowNanos) {
+    private boolean isStalled(EndpointState waiting, long nowNanos) {
         long waitedMillis = (nowNanos - sentNanos) / NANOS_PER_MILLI;
         boolean slow =
                 !route().stream()
                         && firstNanos == 0
-                        && waitedMillis > OVERDUE_GOALS * route().goalMillis();
+                        && waitedMillis > STALLED_GOAL_MULTIPLE * route().goalMillis();
         return slow || waiting.isSilent(nowNanos);
     }
 
@@ -356,7 +356,7 @@
     @Override
     public void onDrain() {
         if (route().repeat() == RetryPolicy.RESUMABLE) {
-            moveOn("runner loads weights", RetryKind.BY_CHOICE);
+            moveToOther("runner loads weights", RetryKind.BY_CHOICE);
         }
     }
 
@@ -364,7 +364,7 @@
      * An endpoint that takes the request now, for one that may be repeated; it is chosen before the
      * answer that is under way is given up, as there may be none.
      */
-    private Optional<EndpointState> takeOther(RetryKind kind) {
+    private Optional<EndpointState> chooseForRetry(RetryKind kind) {
         long nowNanos = System.nanoTime();
         if (!attempts.isRetryable() || requests.isExpired(nowNanos)) {
             return Optional.empty();
@@ -378,9 +378,9 @@
     }
 
     /** Goes to another endpoint if that is allowed and one takes the request; otherwise stays. */
-    private void moveOn(String cause, RetryKind kind) {
+    private void moveToOther(String cause, RetryKind kind) {
         boolean possible = !relay.hasBegun() || relay.canResume();
-        Optional<EndpointState> other = possible ? takeOther(kind) : Optional.empty();
+        Optional<EndpointState> other = possible ? chooseForRetry(kind) : Optional.empty();
         if (other.isEmpty()) {
             return;
         }
@@ -390,7 +390,7 @@
         } else {
             relay.reset();
         }
-        log.moved(leaveEndpoint(), attempts.sends(), cause);
+        log.moved(endAttempt(), attempts.sends(), cause);
         send(other.get(), System.nanoTime());
     }
 
@@ -400,7 +400,7 @@
             return;
         }
         cancelCall();
-        endpoint.ifPresent(state -> leaveEndpoint());
+        endpoint.ifPresent(state -> endAttempt());
         if (relay.hasBegun()) {
             caller.abort();
             finish("broken", "timeout within the answer");
@@ -412,13 +412,13 @@
     }
 
     private void giveUp(String reason) {
-        giveUp(reason, NO_ENDPOINT_MILLIS);
+        giveUp(reason, NO_ENDPOINT_RETRY_MILLIS);
     }
 
     /** Refuses as not run where that holds, with a retry delay. */
     private void giveUp(String reason, long retryAfterMillis) {
         if (relay.hasBegun()) {
-            if (!waitToResume()) {
+            if (!scheduleResume()) {
                 caller.abort();
                 finish("broken", reason);
             }
@@ -428,11 +428,11 @@
             fail(BAD_GATEWAY, reason);
             return;
         }
-        refuseUnrun(reason, retryAfterMillis);
+        rejectNotRun(reason, retryAfterMillis);
     }
 
     /** Refuses what has run nowhere, and gives its tokens back. */
-    private void refuseUnrun(String reason, long retryAfterMillis) {
+    private void rejectNotRun(String reason, long retryAfterMillis) {
         admitted.team().ifPresent(team -> state.rates().refund(team, admitted.tokens()));
         metrics.refused(UNAVAILABLE);
         finish(String.valueOf(UNAVAILABLE), reason);
@@ -446,9 +446,9 @@
     }
 
     @Override
-    public void onCallerGone() {
+    public void onCallerClosed() {
         cancelCall();
-        endpoint.ifPresent(state -> leaveEndpoint());
+        endpoint.ifPresent(state -> endAttempt());
         finish("gone", "the caller closed its connection");
     }
 
@@ -462,7 +462,7 @@
         call = Optional.empty();
     }
 
-    private EndpointState leaveEndpoint() {
+    private EndpointState endAttempt() {
         EndpointState left = endpoint.orElseThrow();
         endpoint = Optional.empty();
         left.end(this);
--- a/router/src/main/java/org/bronzelug/router/exchange/ExchangeLog.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/ExchangeLog.java
@@ -14,9 +14,9 @@
 final class ExchangeLog {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private final Admitted admitted;
+    private final AdmittedRequest admitted;
 
-    ExchangeLog(Admitted admitted) {
+    ExchangeLog(AdmittedRequest admitted) {
         this.admitted = admitted;
     }
 
--- a/router/src/main/java/org/bronzelug/router/exchange/Forwarder.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Forwarder.java
@@ -30,12 +30,12 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /** A VM without a configuration has one within some 100 ms, unless the platform is down. */
-    private static final long NO_CONFIGURATION_MILLIS = 300;
+    private static final long NO_CONFIGURATION_RETRY_MILLIS = 300;
 
     private static final CallerListener NOTHING =
             new CallerListener() {
                 @Override
-                public void onCallerGone() {
+                public void onCallerClosed() {
                     // The answer was complete: nothing is under way.
                 }
 
@@ -98,7 +98,7 @@
                             UNAVAILABLE,
                             "no configuration known yet",
                             "retry later",
-                            NO_CONFIGURATION_MILLIS));
+                            NO_CONFIGURATION_RETRY_MILLIS));
         }
         return admit(head, request, caller, known.get(), arrivedNanos);
     }
@@ -133,8 +133,8 @@
             return refuse(
                     head.id(), request, caller, overRate(charged.get(), tokens, arrivedNanos));
         }
-        Admitted admitted =
-                new Admitted(
+        AdmittedRequest admitted =
+                new AdmittedRequest(
                         head,
                         route.get(),
                         charged,
--- a/router/src/main/java/org/bronzelug/router/exchange/PrefillProgress.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/PrefillProgress.java
@@ -16,12 +16,12 @@
  */
 final class PrefillProgress {
     private final TrafficState state;
-    private final Admitted admitted;
+    private final AdmittedRequest admitted;
     private Optional<RunnerChoice> runner = Optional.empty();
     private boolean queued;
     private long sentNanos;
 
-    PrefillProgress(TrafficState state, Admitted admitted) {
+    PrefillProgress(TrafficState state, AdmittedRequest admitted) {
         this.state = state;
         this.admitted = admitted;
     }
@@ -61,7 +61,7 @@
         RunnerChoice choice = runner.orElseThrow();
         choice.endpoint().load().prefilled(choice.missingTokens());
         if (wholePrompt) {
-            state.choice().learnRate(choice, sentNanos, nowNanos);
+            state.choice().recordPrefillTime(choice, sentNanos, nowNanos);
         }
         state.choice().recordRead(choice, model(), saving, nowNanos);
     }
--- a/router/src/main/java/org/bronzelug/router/exchange/ResponseRelay.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/ResponseRelay.java
@@ -22,7 +22,7 @@
  */
 final class ResponseRelay {
     /** Answers of plain services are about a kilobyte; more is not held in memory. */
-    private static final int MAXIMUM_HELD_BYTES = 65_536;
+    private static final int MAXIMUM_BUFFERED_BYTES = 65_536;
 
     private final CallerConnection caller;
     private final WireFormat wire;
@@ -76,7 +76,7 @@
 
     private void sendHead(OptionalLong length) {
         begun = true;
-        caller.answerHead(status, headers.orElseThrow(), length);
+        caller.writeHead(status, headers.orElseThrow(), length);
     }
 
     /**
@@ -87,31 +87,31 @@
     boolean data(ByteBuf data) {
         if (splitting) {
             events.add(data);
-            return passEvents();
+            return forwardEvents();
         }
         if (begun) {
-            caller.answerData(data);
+            caller.writeData(data);
             return true;
         }
         held.writeBytes(data);
         data.release();
-        if (held.readableBytes() > MAXIMUM_HELD_BYTES) {
+        if (held.readableBytes() > MAXIMUM_BUFFERED_BYTES) {
             ByteBuf first = held;
             held = Unpooled.EMPTY_BUFFER;
             sendHead(OptionalLong.empty());
-            caller.answerData(first);
+            caller.writeData(first);
         }
         return true;
     }
 
-    private boolean passEvents() {
+    private boolean forwardEvents() {
         Optional<ByteBuf> event = events.next();
         while (event.isPresent()) {
             if (events.hasGap()) {
                 event.get().release();
                 return false;
             }
-            caller.answerData(event.get());
+            caller.writeData(event.get());
             event = events.next();
         }
         return true;
@@ -127,7 +127,7 @@
             return false;
         }
         if (begun) {
-            caller.answerEnd();
+            caller.writeEnd();
             return true;
         }
         ByteBuf whole = held;
--- a/router/src/main/java/org/bronzelug/router/http/HttpCaller.java
+++ b/router/src/main/java/org/bronzelug/router/http/HttpCaller.java
@@ -41,7 +41,7 @@
  */
 public final class HttpCaller {
     /** Larger than the largest object of the platform, with its framing: a megabyte a list page. */
-    private static final int MAXIMUM_ANSWER_BYTES = 8 * 1_048_576;
+    private static final int MAXIMUM_RESPONSE_BYTES = 8 * 1_048_576;
 
     private final EventLoop loop;
     private final InetSocketAddress address;
@@ -151,8 +151,8 @@
                 protected void initChannel(SocketChannel opened) {
                     opened.pipeline()
                             .addLast(new HttpClientCodec())
-                            .addLast(new HttpObjectAggregator(MAXIMUM_ANSWER_BYTES))
-                            .addLast(new AnswerHandler(Connection.this));
+                            .addLast(new HttpObjectAggregator(MAXIMUM_RESPONSE_BYTES))
+                            .addLast(new ResponseHandler(Connection.this));
                 }
             };
         }
@@ -191,10 +191,11 @@
     }
 
     /** Hands a connection's events on to it. */
-    private static final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private static final class ResponseHandler
+            extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Connection connection;
 
-        private AnswerHandler(Connection connection) {
+        private ResponseHandler(Connection connection) {
             this.connection = connection;
         }
 
--- a/router/src/main/java/org/bronzelug/router/http/HttpResponder.java
+++ b/router/src/main/java/org/bronzelug/router/http/HttpResponder.java
@@ -89,12 +89,12 @@
             channel.pipeline()
                     .addLast(new HttpServerCodec())
                     .addLast(new HttpObjectAggregator(MAXIMUM_REQUEST_BYTES))
-                    .addLast(new Answering());
+                    .addLast(new CallHandler());
         }
     }
 
     /** Answers the requests of a connection. */
-    private final class Answering extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             boolean keepAlive = HttpUtil.isKeepAlive(request);
--- a/router/src/main/java/org/bronzelug/router/ingress/CallerConnection.java
+++ b/router/src/main/java/org/bronzelug/router/ingress/CallerConnection.java
@@ -62,7 +62,7 @@
     private boolean keepAlive = true;
     private boolean closing;
     private boolean ended;
-    private boolean chunkedAnswer;
+    private boolean chunkedResponse;
 
     CallerConnection(RequestHandler handler, Channel channel) {
         this.handler = handler;
@@ -83,27 +83,27 @@
     }
 
     /** Begins an answer whose parts follow. */
-    public void answerHead(int status, HttpHeaders headers, OptionalLong length) {
+    public void writeHead(int status, HttpHeaders headers, OptionalLong length) {
         DefaultHttpResponse response =
                 new DefaultHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), headers);
-        chunkedAnswer = length.isEmpty();
+        chunkedResponse = length.isEmpty();
         if (length.isPresent()) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, length.getAsLong());
         } else {
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        announceClose(headers);
+        setConnectionHeader(headers);
         channel.writeAndFlush(response);
     }
 
     /** Passes a part of the answer's body on, and takes it over. */
-    public void answerData(ByteBuf data) {
+    public void writeData(ByteBuf data) {
         channel.writeAndFlush(new DefaultHttpContent(data));
     }
 
     /** Marks the end of the answer. */
-    public void answerEnd() {
+    public void writeEnd() {
         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
         finished();
     }
@@ -112,7 +112,7 @@
     public void answer(int status, HttpHeaders headers, ByteBuf content) {
         headers.set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
         headers.remove(HttpHeaderNames.TRANSFER_ENCODING);
-        announceClose(headers);
+        setConnectionHeader(headers);
         channel.writeAndFlush(
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
@@ -154,7 +154,7 @@
         if (message instanceof HttpRequest request) {
             if (request.decoderResult().isFailure()) {
                 ReferenceCountUtil.release(message);
-                refuseUnread(request.decoderResult().cause());
+                rejectUnread(request.decoderResult().cause());
                 return;
             }
             beginRequest(request);
@@ -166,11 +166,11 @@
 
     private void beginRequest(HttpRequest request) {
         if (isAmbiguous(request)) {
-            refuseUnread(new IllegalArgumentException("two ways to tell the body's length"));
+            rejectUnread(new IllegalArgumentException("two ways to tell the body's length"));
             return;
         }
         reading = Optional.of(request);
-        startTimer(handler.limits().headerTimeoutMillis(), this::tooSlow);
+        startTimer(handler.limits().headerTimeoutMillis(), this::rejectSlowRequest);
         if (HttpUtil.is100ContinueExpected(request)) {
             channel.writeAndFlush(
                     new DefaultFullHttpResponse(
@@ -187,11 +187,11 @@
     private static boolean isAmbiguous(HttpRequest request) {
         HttpHeaders headers = request.headers();
         boolean chunked = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
-        boolean oddCoding = chunked && !HttpUtil.isTransferEncodingChunked(request);
+        boolean unsupportedCoding = chunked && !HttpUtil.isTransferEncodingChunked(request);
         boolean both = chunked && headers.contains(HttpHeaderNames.CONTENT_LENGTH);
-        boolean twoLengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH).size() > 1;
+        boolean multipleLengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH).size() > 1;
         boolean hosts = headers.getAll(HttpHeaderNames.HOST).size() != 1;
-        return oddCoding || both || twoLengths || hosts;
+        return unsupportedCoding || both || multipleLengths || hosts;
     }
 
     private void readBody(HttpContent content) {
@@ -201,23 +201,24 @@
         }
         if (content.decoderResult().isFailure()) {
             content.release();
-            refuseUnread(content.decoderResult().cause());
+            rejectUnread(content.decoderResult().cause());
             return;
         }
         if (body.readableBytes() + content.content().readableBytes()
                 > handler.limits().maximumBodyBytes()) {
             content.release();
             reading = Optional.empty();
-            refuseNow(Rejection.of(TOO_LARGE, "body too large", "send a smaller body").closing());
+            rejectUnlessBusy(
+                    Rejection.of(TOO_LARGE, "body too large", "send a smaller body").closing());
             return;
         }
         body.addComponent(true, content.content());
         if (content instanceof LastHttpContent) {
-            endRequest(reading.get());
+            onRequestComplete(reading.get());
         }
     }
 
-    private void endRequest(HttpRequest head) {
+    private void onRequestComplete(HttpRequest head) {
         FullHttpRequest whole =
                 new DefaultFullHttpRequest(
                         head.protocolVersion(),
@@ -282,7 +283,7 @@
         }
     }
 
-    private void announceClose(HttpHeaders headers) {
+    private void setConnectionHeader(HttpHeaders headers) {
         closing |= handler.isStopping();
         if (closing || !keepAlive) {
             headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -291,23 +292,24 @@
         }
     }
 
-    private void refuseUnread(Throwable cause) {
+    private void rejectUnread(Throwable cause) {
         boolean tooLong = cause instanceof TooLongFrameException;
         reading = Optional.empty();
         Rejection rejection =
                 tooLong
                         ? Rejection.of(HEADER_TOO_LARGE, "head too large", "send fewer headers")
                         : Rejection.of(BAD_REQUEST, "malformed request", "send valid HTTP/1.1");
-        refuseNow(rejection.closing());
+        rejectUnlessBusy(rejection.closing());
     }
 
-    private void tooSlow() {
+    private void rejectSlowRequest() {
         reading = Optional.empty();
-        refuseNow(Rejection.of(REQUEST_TIMEOUT, "request too slow", "send it faster").closing());
+        rejectUnlessBusy(
+                Rejection.of(REQUEST_TIMEOUT, "request too slow", "send it faster").closing());
     }
 
     /** Refuses what is being read; an answer under way is not mixed with it. */
-    private void refuseNow(Rejection rejection) {
+    private void rejectUnlessBusy(Rejection rejection) {
         if (busy) {
             endWhenIdle();
             return;
@@ -355,7 +357,7 @@
         Optional<CallerListener> listener = current;
         current = Optional.empty();
         busy = false;
-        listener.ifPresent(CallerListener::onCallerGone);
+        listener.ifPresent(CallerListener::onCallerClosed);
     }
 
     @Override
--- a/router/src/main/java/org/bronzelug/router/ingress/GracefulStop.java
+++ b/router/src/main/java/org/bronzelug/router/ingress/GracefulStop.java
@@ -21,10 +21,10 @@
      * Callers keep an address for seconds; most have asked anew by then. The rest meet a closed
      * port and go to another address at once.
      */
-    private static final long LISTEN_MILLIS = 2_500;
+    private static final long KEEP_LISTENING_MILLIS = 2_500;
 
     /** What is left of the grace for closing down. */
-    private static final long MARGIN_MILLIS = 700;
+    private static final long SHUTDOWN_MARGIN_MILLIS = 700;
 
     private static final long CHECK_MILLIS = 50;
 
@@ -54,10 +54,12 @@
         startNanos = System.nanoTime();
         control.beginStop();
         traffic.execute(forwarder::beginStop);
-        traffic.schedule(this::closeListener, LISTEN_MILLIS, TimeUnit.MILLISECONDS);
+        traffic.schedule(this::closeListener, KEEP_LISTENING_MILLIS, TimeUnit.MILLISECONDS);
         traffic.schedule(this::check, CHECK_MILLIS, TimeUnit.MILLISECONDS);
         try {
-            boolean all = done.await(bounds.graceMillis() - MARGIN_MILLIS, TimeUnit.MILLISECONDS);
+            boolean all =
+                    done.await(
+                            bounds.graceMillis() - SHUTDOWN_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
             if (!all) {
                 EventLog.warn(LogEvent.DRAIN_INCOMPLETE, "connections end in an answer");
             }
@@ -68,12 +70,12 @@
 
     private void closeListener() {
         ingress.closeListener();
-        ingress.endConnections();
+        ingress.closeConnectionsWhenIdle();
     }
 
     private void check() {
         long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
-        if (elapsedMillis > LISTEN_MILLIS && ingress.busyCount() == 0) {
+        if (elapsedMillis > KEEP_LISTENING_MILLIS && ingress.busyCount() == 0) {
             done.countDown();
             return;
         }
--- a/router/src/main/java/org/bronzelug/router/ingress/IngressServer.java
+++ b/router/src/main/java/org/bronzelug/router/ingress/IngressServer.java
@@ -58,7 +58,7 @@
                         .option(ChannelOption.SO_BACKLOG, BACKLOG)
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childOption(ChannelOption.TCP_NODELAY, true)
-                        .childOption(ChannelOption.RECVBUF_ALLOCATOR, readsToTheEnd())
+                        .childOption(ChannelOption.RECVBUF_ALLOCATOR, readUntilEmpty())
                         .childHandler(new ConnectionSetup());
         try {
             listener = Optional.of(bootstrap.bind(address).syncUninterruptibly().channel());
@@ -73,7 +73,7 @@
      * Reads on until nothing is left. A request whose caller has closed the connection is then seen
      * together with the close.
      */
-    private static AdaptiveRecvByteBufAllocator readsToTheEnd() {
+    private static AdaptiveRecvByteBufAllocator readUntilEmpty() {
         AdaptiveRecvByteBufAllocator allocator = new AdaptiveRecvByteBufAllocator();
         allocator.respectMaybeMoreData(false).maxMessagesPerRead(READS_PER_TURN);
         return allocator;
@@ -86,7 +86,7 @@
     }
 
     /** Ends each connection as soon as no answer is under way. Call on the traffic thread. */
-    public void endConnections() {
+    public void closeConnectionsWhenIdle() {
         Set.copyOf(connections).forEach(CallerConnection::endWhenIdle);
     }
 
--- a/router/src/main/java/org/bronzelug/router/traffic/EndpointChoice.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/EndpointChoice.java
@@ -19,65 +19,76 @@
 import org.bronzelug.router.exchange.PromptSpec;
 
 /**
- * Chooses the endpoint of a request. Confined to the traffic thread.
+ * Chooses the endpoint of a request.
  *
- * <p>Prompts are placed by prefix and load ({@link PlacementPolicy}). Runners that load weights or
- * failed lately are excluded while there are others. Runners with older weights get a penalty, and
- * are excluded before the bound on older weights is reached.
+ * <p>A request without a prompt goes to the least loaded endpoint of its pool ({@link LeastLoad}).
+ * A prompt goes to the runner with the lowest expected time to the first token ({@link
+ * PlacementPolicy}), which depends on the tokens queued at the runner and on how much of the prompt
+ * its cache is estimated to hold. The estimate is built from the prompts that this VM and its peers
+ * sent to each runner. Runners that are expected to reject requests, and suspect ones, are excluded
+ * while there are others.
+ *
+ * <p>Invariant: no prompt is sent to a runner whose weights have been outdated for longer than the
+ * configured bound, less a margin for the time that the request waits there. Before that bound,
+ * outdated weights only add a penalty to the cost of the runner. Confined to the traffic thread.
  */
 public final class EndpointChoice {
-    /** Bounds the memory of this VM, not that of the runner. */
+    /** Bounds the memory that this VM uses; it says nothing about the runner's cache size. */
     private static final int PREFIXES_PER_RUNNER = 256;
 
-    /** Entries that were not used for so long are taken for evicted. */
-    private static final long BELIEF_NANOS = 20_000_000_000L;
+    /** Cached prefixes that were not used for this long are assumed to be evicted. */
+    private static final long CACHE_ESTIMATE_NANOS = 20_000_000_000L;
 
-    /** Cost of a stream in the batch: it lengthens each decoding step a little. */
+    /** Cost of each stream in the runner's batch: it lengthens every decoding step a little. */
     private static final double NANOS_PER_STREAM = 50_000;
 
+    /** Weight of a token that must be prefilled, relative to one that waits in the queue. */
     private static final double MISSING_TOKEN_WEIGHT = 3;
 
-    /** A queue that takes so long counts as one waiting request. */
+    /** A queue that takes this long to prefill counts as one waiting request. */
     private static final double NANOS_PER_WAITING_REQUEST = 500_000_000;
 
-    /** Answers on older weights are worth less from 1.5 s on; requests take a moment to begin. */
+    /**
+     * How long outdated weights get no penalty. Responses on weights that have been outdated for
+     * 1.5 s or more are worth less, and a request takes a moment to begin.
+     */
     private static final long OLDER_WEIGHTS_GRACE_NANOS = 1_300_000_000L;
 
-    /** A request that waits at a runner begins up to so long after it was sent there. */
+    /** A request that is queued at a runner begins up to this long after it was sent. */
     private static final long OLDER_WEIGHTS_MARGIN_NANOS = 1_500_000_000L;
 
-    /** Penalty of older weights, as a queue delay. */
-    private static final double OLDER_WEIGHTS_NANOS = 400_000_000;
+    /** Penalty for outdated weights, as a queue delay. */
+    private static final double OLDER_WEIGHTS_PENALTY_NANOS = 400_000_000;
 
-    /** Below this, a queue does not delay a prompt noticeably. */
+    /** A queue of fewer tokens does not delay a prompt noticeably. */
     private static final double IDLE_TOKENS = 500;
 
     private final EndpointTable endpoints;
     private final String availabilityZone;
-    private final long olderWeightsEndNanos;
+    private final long olderWeightsLimitNanos;
     private final CacheEstimate cacheEstimate =
-            new CacheEstimate(PREFIXES_PER_RUNNER, BELIEF_NANOS, System.nanoTime());
-    private final PrefixReads reads = new PrefixReads();
-    private Map<String, WeightsTarget> weights = Map.of();
+            new CacheEstimate(PREFIXES_PER_RUNNER, CACHE_ESTIMATE_NANOS, System.nanoTime());
+    private final PrefixReads prefixReads = new PrefixReads();
+    private Map<String, WeightsTarget> weightsTargets = Map.of();
 
     /**
-     * @param weightsNanos after which no request may begin on older weights
+     * @param weightsNanos how long after a version is published requests may begin on older weights
      */
     EndpointChoice(EndpointTable endpoints, String availabilityZone, long weightsNanos) {
         this.endpoints = endpoints;
         this.availabilityZone = availabilityZone;
-        this.olderWeightsEndNanos = weightsNanos - OLDER_WEIGHTS_MARGIN_NANOS;
+        this.olderWeightsLimitNanos = weightsNanos - OLDER_WEIGHTS_MARGIN_NANOS;
     }
 
-    void update(Map<String, WeightsTarget> newest) {
-        weights = newest;
+    void update(Map<String, WeightsTarget> targets) {
+        weightsTargets = targets;
     }
 
-    /** The endpoint for a request without a prompt. */
+    /** Returns the endpoint for a request without a prompt; empty if none is available. */
     public Optional<EndpointState> leastLoadedEndpoint(
             String pool, Predicate<String> allowed, long nowNanos) {
         Map<String, EndpointState> usable = new HashMap<>();
-        for (EndpointState state : endpoints.takingWork(pool)) {
+        for (EndpointState state : endpoints.acceptingRequests(pool)) {
             if (allowed.test(state.entry().id())) {
                 usable.put(state.entry().id(), state);
             }
@@ -96,17 +107,26 @@
                 Math.max(1, state.entry().slots()));
     }
 
-    /** The runner for a prompt. */
-    public Optional<RunnerChoice> byPrefix(
-            String pool, PromptSpec prompt, String wall, Predicate<String> allowed, long nowNanos) {
+    /**
+     * Returns the runner for a prompt; empty if none is available.
+     *
+     * @param cachePartition separates the cached prefixes of dedicated teams
+     * @param allowed tells by id which endpoints may be chosen
+     */
+    public Optional<RunnerChoice> chooseRunner(
+            String pool,
+            PromptSpec prompt,
+            String cachePartition,
+            Predicate<String> allowed,
+            long nowNanos) {
         List<EndpointState> usable =
-                endpoints.takingWork(pool).stream()
+                endpoints.acceptingRequests(pool).stream()
                         .filter(state -> allowed.test(state.entry().id()))
-                        .filter(state -> mayBegin(state, prompt.model(), nowNanos))
+                        .filter(state -> isWeightsAgeAllowed(state, prompt.model(), nowNanos))
                         .toList();
         usable = preferred(usable, nowNanos);
         int considered = usable.size();
-        PrefixChain chain = PrefixChain.ofParts(wall + prompt.model(), prompt.parts());
+        PrefixChain chain = PrefixChain.ofParts(cachePartition + prompt.model(), prompt.parts());
         List<RunnerLoad> loads =
                 usable.stream().map(state -> load(state, prompt.model(), nowNanos)).toList();
         Optional<Placement> placement = policy(pool).choose(chain, loads, cacheEstimate, nowNanos);
@@ -135,50 +155,54 @@
                         NANOS_PER_WAITING_REQUEST / nanosPerToken));
     }
 
-    /** The estimated queue delay of the prompt at the runner. */
+    /** Returns the estimated queue delay of the prompt at the runner. */
     public double waitNanos(RunnerChoice choice) {
         return choice.queuedTokens() * choice.endpoint().prefillRate().nanosPerToken();
     }
 
     /**
-     * Records the time to the first byte of a prompt that no runner had cached, if it did not
-     * queue.
+     * Records the time to the first byte of a prompt that was prefilled in whole, if the prompt was
+     * not queued.
      *
-     * @param sentNanos when the request was sent
+     * @param sentNanos when the request was sent, by the local monotonic clock
      */
-    public void learnRate(RunnerChoice choice, long sentNanos, long nowNanos) {
+    public void recordPrefillTime(RunnerChoice choice, long sentNanos, long nowNanos) {
         if (choice.queuedTokens() < IDLE_TOKENS) {
             choice.endpoint().prefillRate().record(choice.chain().tokens(), nowNanos - sentNanos);
         }
     }
 
-    /** Whether the runner is to save what it reads of the prompt: nobody has yet. */
-    public boolean isToBeSaved(RunnerChoice choice, long nowNanos) {
+    /**
+     * Returns whether the runner should save the prompt's shared prefix to the cache store, since
+     * no runner is known to have saved it.
+     */
+    public boolean shouldSave(RunnerChoice choice, long nowNanos) {
         return !choice.sharedCached()
-                && reads.isUnsaved(
+                && prefixReads.isUnsaved(
                         choice.chain().deepestSharedLevel().hash(),
                         choice.weightsVersion(),
                         nowNanos);
     }
 
     /**
-     * Remembers that the runner has read the prompt: its answer has begun.
+     * Records that the runner has prefilled the prompt. Called when its response has begun.
      *
-     * <p>Not sooner: a runner that refuses, or has no power, reads and saves nothing, and what is
-     * wrongly taken for saved is read again by every other runner.
+     * <p>If it were called earlier, a runner that rejects the request or has lost its power would
+     * be recorded although it prefilled and saved nothing. Every other runner would then prefill
+     * the prefix again that is wrongly assumed to be saved.
      *
-     * @param saved whether it was told to save
+     * @param saved whether the request told the runner to save the prefix
      */
     public void recordRead(RunnerChoice choice, String model, boolean saved, long nowNanos) {
-        reads.record(choice, model, saved, nowNanos);
+        prefixReads.record(choice, model, saved, nowNanos);
         cacheEstimate.recordCached(
                 choice.endpoint().entry().id(), choice.incarnation(), choice.chain(), nowNanos);
     }
 
-    /** Takes in what other VMs have sent to runners. */
-    void recordPeers(List<PrefixRead> peerReads, long nowNanos) {
+    /** Records the prompts that other VMs have sent to runners. */
+    void recordPeerReads(List<PrefixRead> peerReads, long nowNanos) {
         for (PrefixRead read : peerReads) {
-            reads.recordPeer(read, nowNanos);
+            prefixReads.recordPeer(read, nowNanos);
             endpoints
                     .find(read.getEndpoint())
                     .filter(state -> state.weights(read.getModel()) == read.getVersion())
@@ -193,56 +217,58 @@
         }
     }
 
-    /** What the other VMs are told of this one's prompts. */
+    /** Returns this VM's recent prefix reads, to be reported to the other VMs. */
     public List<PrefixRead> readsToTell(long nowNanos) {
-        return reads.toTell(nowNanos);
+        return prefixReads.readsToReport(nowNanos);
     }
 
-    /** The newest weights named for a model. */
-    public Optional<WeightsTarget> newest(String model) {
-        return Optional.ofNullable(weights.get(model));
+    /** Returns the published target versions of a model's weights. */
+    public Optional<WeightsTarget> weightsTarget(String model) {
+        return Optional.ofNullable(weightsTargets.get(model));
     }
 
     private static List<EndpointState> preferred(List<EndpointState> usable, long nowNanos) {
-        List<EndpointState> idle =
-                usable.stream().filter(state -> !state.isLoading(nowNanos)).toList();
-        Collection<EndpointState> calm =
-                idle.stream().filter(state -> !state.isSuspect(nowNanos)).toList();
-        if (!calm.isEmpty()) {
-            return List.copyOf(calm);
+        List<EndpointState> accepting =
+                usable.stream().filter(state -> !state.isExpectedToReject(nowNanos)).toList();
+        Collection<EndpointState> healthy =
+                accepting.stream().filter(state -> !state.isSuspect(nowNanos)).toList();
+        if (!healthy.isEmpty()) {
+            return List.copyOf(healthy);
         }
-        return idle.isEmpty() ? usable : idle;
+        return accepting.isEmpty() ? usable : accepting;
     }
 
-    private boolean mayBegin(EndpointState state, String model, long nowNanos) {
-        return behindNanos(state, model, nowNanos) < olderWeightsEndNanos;
+    private boolean isWeightsAgeAllowed(EndpointState state, String model, long nowNanos) {
+        return weightsBehindNanos(state, model, nowNanos) < olderWeightsLimitNanos;
     }
 
-    /** For how long the runner's weights have not been the newest; 0 where they are. */
-    private long behindNanos(EndpointState state, String model, long nowNanos) {
-        OptionalLong since =
-                newest(model)
+    /** Returns how long the runner's weights have been outdated; 0 if they are the newest. */
+    private long weightsBehindNanos(EndpointState state, String model, long nowNanos) {
+        OptionalLong behindSince =
+                weightsTarget(model)
                         .map(target -> target.behindSinceNanos(state.weights(model)))
                         .orElseGet(OptionalLong::empty);
-        return since.isPresent() ? nowNanos - since.getAsLong() : 0;
+        return behindSince.isPresent() ? nowNanos - behindSince.getAsLong() : 0;
     }
 
     private RunnerLoad load(EndpointState state, String model, long nowNanos) {
-        PeerEndpointUsage others = state.peerUse();
+        PeerEndpointUsage peers = state.peerUsage();
         RunnerLoad own = state.load().load(state.entry().id(), state.cacheIncarnation(model));
         return new RunnerLoad(
                 own.name(),
                 own.incarnation(),
                 own.queuedPrefillTokens()
-                        + others.queuedPrefillTokens()
-                        + olderWeightsTokens(state, model, nowNanos),
-                own.runningStreams() + others.requests());
+                        + peers.queuedPrefillTokens()
+                        + olderWeightsPenaltyTokens(state, model, nowNanos),
+                own.runningStreams() + peers.requests());
     }
 
-    /** What the runner's weights count as in the choice; nothing of it waits there. */
-    private int olderWeightsTokens(EndpointState state, String model, long nowNanos) {
-        boolean older = behindNanos(state, model, nowNanos) > OLDER_WEIGHTS_GRACE_NANOS;
-        return older ? (int) (OLDER_WEIGHTS_NANOS / state.prefillRate().nanosPerToken()) : 0;
+    /** Returns the penalty for outdated weights, as tokens added to the runner's queue. */
+    private int olderWeightsPenaltyTokens(EndpointState state, String model, long nowNanos) {
+        boolean outdated = weightsBehindNanos(state, model, nowNanos) > OLDER_WEIGHTS_GRACE_NANOS;
+        return outdated
+                ? (int) (OLDER_WEIGHTS_PENALTY_NANOS / state.prefillRate().nanosPerToken())
+                : 0;
     }
 
     private RunnerChoice runnerChoice(
@@ -261,7 +287,7 @@
                 state.weights(prompt.model()),
                 missing,
                 sharedCached,
-                best.queuedTokens() - olderWeightsTokens(state, prompt.model(), nowNanos),
+                best.queuedTokens() - olderWeightsPenaltyTokens(state, prompt.model(), nowNanos),
                 best,
                 considered);
     }
--- a/router/src/main/java/org/bronzelug/router/traffic/EndpointState.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/EndpointState.java
@@ -19,37 +19,48 @@
 import org.bronzelug.router.endpoint.EndpointResponse;
 
 /**
- * What this VM knows of one start of one endpoint. Confined to the traffic thread.
+ * State that this VM keeps about one running instance of an endpoint: its entry in the platform's
+ * list, its connection pool, the requests in flight, the versions of the weights that its responses
+ * reported, the request limit that it advertises, and its health.
  *
- * <p>Failures make it suspect for a while that doubles up to a bound: a suspect endpoint is used
- * only where there is no other, so one that is dead costs each VM one failed request at each try.
+ * <p>A failure makes the endpoint suspect. The suspect period doubles with each consecutive failure
+ * up to a bound, and the next regular response ends it. An endpoint is also suspect while it is
+ * silent, that is while requests are in flight and no bytes arrive. A suspect endpoint is chosen
+ * only if no other endpoint is available, so a dead endpoint costs each VM at most one failed
+ * request per suspect period.
+ *
+ * <p>Invariant: an instance of this class belongs to one start of the endpoint. After a restart of
+ * the endpoint {@link EndpointTable} creates a new one. Confined to the traffic thread.
  */
 public final class EndpointState {
-    private static final long FIRST_SUSPICION_NANOS = 500_000_000L;
+    private static final long INITIAL_SUSPECT_NANOS = 500_000_000L;
     private static final int MAXIMUM_DOUBLINGS = 3;
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Several times the latency of a plain call or of a short prompt. */
-    private static final long LEAST_SILENT_NANOS = 900_000_000L;
+    /** Several times the latency of a request without a prompt or with a short prompt. */
+    private static final long MINIMUM_SILENCE_NANOS = 900_000_000L;
 
-    /** Multiple of the prefill time of this VM's prompts during which a runner may be silent. */
-    private static final double SILENT_READINGS = 2;
+    /** Number of estimated prefill times of this VM's prompts that a runner may stay silent. */
+    private static final double SILENCE_PREFILL_MULTIPLE = 2;
 
-    /** The control thread asks within a round of 150 ms, and has an answer in a few. */
-    private static final long DOUBT_NANOS = 400_000_000L;
+    /**
+     * How long the weights of an endpoint stay unknown. The control thread queries the runner
+     * within a round of 150 ms and has the response a few milliseconds later.
+     */
+    private static final long WEIGHTS_UNKNOWN_NANOS = 400_000_000L;
 
     private final EndpointConnections connections;
     private final PrefillRate prefillRate;
     private final LoadEstimate load = new LoadEstimate();
-    private final Map<String, Long> answeredWeights = new HashMap<>();
+    private final Map<String, Long> observedWeights = new HashMap<>();
     private EndpointEntry entry;
-    private PeerEndpointUsage peerUse = PeerEndpointUsage.NONE;
+    private PeerEndpointUsage peerUsage = PeerEndpointUsage.NONE;
     private Optional<EndpointLimit> limit = Optional.empty();
-    private boolean ordered;
-    private int failuresInRow;
+    private boolean loadOrdered;
+    private int consecutiveFailures;
     private long suspectUntilNanos = Long.MIN_VALUE;
-    private final Set<DrainListener> requests = new HashSet<>();
-    private long quietSinceNanos;
+    private final Set<DrainListener> ownRequests = new HashSet<>();
+    private long lastActivityNanos;
     private long weightsUnknownUntilNanos = Long.MIN_VALUE;
 
     EndpointState(EndpointEntry entry, EndpointConnections connections, PrefillRate prefillRate) {
@@ -66,7 +77,7 @@
         return connections;
     }
 
-    /** The prefill rate of its pool. */
+    /** Returns the prefill rate of the endpoint's pool. */
     PrefillRate prefillRate() {
         return prefillRate;
     }
@@ -76,118 +87,132 @@
     }
 
     /**
-     * Takes in what the control thread knows.
+     * Applies an update from the control thread.
      *
-     * @return whether it begins to load weights
+     * @param newer the current entry of the same start of the endpoint
+     * @param usage the requests that the other VMs have in flight at the endpoint
+     * @param nowOrdered whether the endpoint has an order to load weights
+     * @return whether the order to load weights is new
      */
-    boolean update(EndpointEntry newer, PeerEndpointUsage use, boolean nowOrdered) {
+    boolean update(EndpointEntry newer, PeerEndpointUsage usage, boolean nowOrdered) {
         if (!newer.weights().equals(entry.weights())) {
             weightsUnknownUntilNanos = Long.MIN_VALUE;
         }
         entry = newer;
-        peerUse = use;
-        boolean begins = nowOrdered && !ordered;
-        ordered = nowOrdered;
-        return begins;
+        peerUsage = usage;
+        boolean newlyOrdered = nowOrdered && !loadOrdered;
+        loadOrdered = nowOrdered;
+        return newlyOrdered;
     }
 
-    /** Asks its requests to move to other endpoints, as it is to load weights. */
+    /** Notifies this VM's requests in flight that the endpoint is about to load weights. */
     void drain() {
-        Set.copyOf(requests).forEach(DrainListener::onDrain);
+        Set.copyOf(ownRequests).forEach(DrainListener::onDrain);
     }
 
-    PeerEndpointUsage peerUse() {
-        return peerUse;
+    PeerEndpointUsage peerUsage() {
+        return peerUsage;
     }
 
-    /** Whether it refuses requests now: it loads weights, or has others than believed. */
-    public boolean isLoading(long nowNanos) {
-        return ordered || areWeightsUnknown(nowNanos);
+    /**
+     * Returns whether the endpoint is expected to reject requests now, because it loads weights or
+     * has another version of them than estimated.
+     */
+    public boolean isExpectedToReject(long nowNanos) {
+        return loadOrdered || areWeightsUnknown(nowNanos);
     }
 
-    /** Requests of all VMs, as far as known. */
+    /** Returns the number of requests in flight from all VMs, as far as this VM knows. */
     public int requests() {
-        return requests.size() + peerUse.requests();
+        return ownRequests.size() + peerUsage.requests();
     }
 
     public int ownRequests() {
-        return requests.size();
+        return ownRequests.size();
     }
 
-    /** Requests of the other VMs, as last heard. */
+    /** Returns the number of requests in flight from the other VMs, as they last reported it. */
     public int peerRequests() {
-        return peerUse.requests();
+        return peerUsage.requests();
     }
 
-    /** Counts a request that is sent there. */
+    /** Records that this VM sends a request to the endpoint. */
     public void begin(DrainListener request, long nowNanos) {
-        if (requests.isEmpty()) {
-            quietSinceNanos = nowNanos;
+        if (ownRequests.isEmpty()) {
+            lastActivityNanos = nowNanos;
         }
-        requests.add(request);
+        ownRequests.add(request);
     }
 
-    /** A request under way at an endpoint. */
+    /** A request in flight at an endpoint. */
     public interface DrainListener {
-        /** The endpoint waits for the end of this request before it loads weights. */
+        /** Called when the endpoint waits for the end of this request before it loads weights. */
         void onDrain();
     }
 
-    /** Notes that bytes of an answer have arrived. */
-    public void heard(long nowNanos) {
-        quietSinceNanos = nowNanos;
+    /** Records that bytes of a response have arrived. */
+    public void recordActivity(long nowNanos) {
+        lastActivityNanos = nowNanos;
     }
 
     /**
-     * Whether nothing has come for long though something is due: the endpoint has lost its power,
-     * or the path to it is cut. Its connections stay open then, and its entry is listed for
-     * seconds.
+     * Returns whether requests are in flight but no bytes have arrived for too long. This detects
+     * an endpoint that lost its power or whose network path is cut: its connections stay open and
+     * the platform lists its entry for seconds more.
      */
     public boolean isSilent(long nowNanos) {
-        return !requests.isEmpty() && nowNanos - quietSinceNanos > silentNanos();
+        return !ownRequests.isEmpty() && nowNanos - lastActivityNanos > silenceLimitNanos();
     }
 
-    /** An engine sends nothing while it prefills a long prompt alone. */
-    private double silentNanos() {
-        double reading = load.ownTokens() * prefillRate.nanosPerToken();
-        return Math.max(LEAST_SILENT_NANOS, SILENT_READINGS * reading);
+    /**
+     * Returns how long the endpoint may send nothing before it counts as silent. The limit grows
+     * with the queued prompts, since an engine sends nothing while it prefills a single long
+     * prompt.
+     */
+    private double silenceLimitNanos() {
+        double prefillNanos = load.ownTokens() * prefillRate.nanosPerToken();
+        return Math.max(MINIMUM_SILENCE_NANOS, SILENCE_PREFILL_MULTIPLE * prefillNanos);
     }
 
-    /** Counts the end of a request there. */
+    /** Records that a request of this VM has left the endpoint. */
     public void end(DrainListener request) {
-        requests.remove(request);
+        ownRequests.remove(request);
     }
 
-    /** The weights that it has: what its answers showed goes before its entry, which lags. */
+    /**
+     * Returns the version of a model's weights that the endpoint has: the newer of the versions in
+     * its entry, which lags, and in its responses.
+     */
     public long weights(String model) {
         long listed = entry.weights().getOrDefault(model, 0L);
-        return Math.max(listed, answeredWeights.getOrDefault(model, 0L));
+        return Math.max(listed, observedWeights.getOrDefault(model, 0L));
     }
 
-    /** An answer or a refusal showed the version. */
+    /** Records the version of the weights that a response or rejection of the endpoint reported. */
     public void recordWeights(String model, long version) {
-        answeredWeights.merge(model, version, Math::max);
+        observedWeights.merge(model, version, Math::max);
     }
 
     /**
-     * The runner refused a version: it has another one than believed, and which one is not said.
+     * Records that the runner rejected a request because it has another version of the weights than
+     * estimated; the rejection does not state which one.
      *
-     * <p>The failure this prevents: the newest version is assumed, the runner is still at the one
-     * between, and every request that is sent there is refused until it has loaded the newest.
+     * <p>Without this, the newest version would be assumed. A runner that still has a version in
+     * between would then reject every request until it has loaded the newest one.
      */
     public void markWeightsUnknown(long nowNanos) {
-        weightsUnknownUntilNanos = nowNanos + DOUBT_NANOS;
+        weightsUnknownUntilNanos = nowNanos + WEIGHTS_UNKNOWN_NANOS;
     }
 
-    /** Whether the runner must be asked which weights it has before it gets requests. */
+    /** Returns whether the runner must report its weights before it gets requests. */
     public boolean areWeightsUnknown(long nowNanos) {
         return weightsUnknownUntilNanos != Long.MIN_VALUE && nowNanos < weightsUnknownUntilNanos;
     }
 
-    /** Versions that answers showed before the entry told of them. */
+    /** Returns the versions from responses that are newer than those in the endpoint's entry. */
     public List<EndpointWeights> weightsAheadOfEntry() {
         List<EndpointWeights> ahead = new ArrayList<>();
-        answeredWeights.forEach(
+        observedWeights.forEach(
                 (model, version) -> {
                     if (version > entry.weights().getOrDefault(model, 0L)) {
                         ahead.add(
@@ -202,36 +227,42 @@
         return ahead;
     }
 
-    /** Names one start of the endpoint with one version of weights: what its cache belongs to. */
+    /**
+     * Returns an identifier of one start of the endpoint with one version of the weights. Cached
+     * prefixes are valid only within one incarnation.
+     */
     public String cacheIncarnation(String model) {
         return entry.id() + "/" + entry.bornMillis() + "/" + weights(model);
     }
 
-    public void recordAnswer(EndpointResponse answer) {
-        observeLimit(answer);
-        if (!answer.isServerError() || answer.genuine()) {
-            failuresInRow = 0;
+    public void recordResponse(EndpointResponse response) {
+        recordLimit(response);
+        if (!response.isServerError() || response.genuine()) {
+            consecutiveFailures = 0;
             suspectUntilNanos = Long.MIN_VALUE;
         }
     }
 
-    /** The limit on its requests; empty where it has never named one. */
+    /** Returns the limit on the endpoint's requests; empty if it has never advertised one. */
     public Optional<EndpointLimit> limit() {
         return limit;
     }
 
-    /** An answer that the endpoint did not stamp may lack what the endpoint says. */
-    private void observeLimit(EndpointResponse answer) {
+    /**
+     * Records the limit in a response. A response without the endpoint's stamp may come from
+     * another program and lack the limit header, so its missing limit does not end a known one.
+     */
+    private void recordLimit(EndpointResponse response) {
         long nowNanos = System.nanoTime();
-        switch (answer.limit()) {
-            case AdvertisedLimit.Rate named -> {
-                if (answer.genuine() || answer.notExecuted()) {
-                    takeLimit(named, nowNanos, "answer");
+        switch (response.limit()) {
+            case AdvertisedLimit.Rate rate -> {
+                if (response.genuine() || response.notExecuted()) {
+                    applyLimit(rate, nowNanos, "answer");
                 }
             }
             case AdvertisedLimit.None none -> {
-                if (answer.genuine()) {
-                    takeLimit(none, nowNanos, "answer");
+                if (response.genuine()) {
+                    applyLimit(none, nowNanos, "answer");
                 }
             }
             case AdvertisedLimit.Malformed malformed ->
@@ -241,27 +272,27 @@
         }
     }
 
-    /** Takes in what a peer knows of the limit, and what it has sent. */
-    void recordPeerLimit(PeerLimitUsage use, long nowNanos) {
-        takeLimit(use.limit(), use.seenNanos(), "vm " + use.vm());
+    /** Applies the limit that a peer has observed, and the peer's usage of it. */
+    void recordPeerLimit(PeerLimitUsage peer, long nowNanos) {
+        applyLimit(peer.limit(), peer.seenNanos(), "vm " + peer.vm());
         limit.ifPresent(
-                known -> known.recordPeer(use.vm(), use.incarnation(), use.count(), nowNanos));
+                known -> known.recordPeer(peer.vm(), peer.incarnation(), peer.usage(), nowNanos));
     }
 
-    private void takeLimit(AdvertisedLimit named, long seenNanos, String source) {
+    private void applyLimit(AdvertisedLimit advertised, long seenNanos, String source) {
         if (limit.isEmpty()) {
-            if (named instanceof AdvertisedLimit.None) {
+            if (advertised instanceof AdvertisedLimit.None) {
                 return;
             }
             limit = Optional.of(new EndpointLimit(seenNanos));
         }
         AdvertisedLimit before = limit.get().limit();
         long nowNanos = System.nanoTime();
-        if (limit.get().observe(named, seenNanos, nowNanos)) {
+        if (limit.get().observe(advertised, seenNanos, nowNanos)) {
             EventLog.info(
                     LogEvent.ENDPOINT_LIMIT_CHANGED,
                     ("endpoint=" + entry.id())
-                            + (" limit=" + named)
+                            + (" limit=" + advertised)
                             + (" before=" + before)
                             + (" from=\"" + source + "\"")
                             + (" ageMillis=" + (nowNanos - seenNanos) / NANOS_PER_MILLI));
@@ -269,9 +300,9 @@
     }
 
     public void recordFailure(long nowNanos) {
-        int doublings = Math.min(failuresInRow, MAXIMUM_DOUBLINGS);
-        failuresInRow++;
-        suspectUntilNanos = nowNanos + (FIRST_SUSPICION_NANOS << doublings);
+        int doublings = Math.min(consecutiveFailures, MAXIMUM_DOUBLINGS);
+        consecutiveFailures++;
+        suspectUntilNanos = nowNanos + (INITIAL_SUSPECT_NANOS << doublings);
     }
 
     public boolean isSuspect(long nowNanos) {
--- a/router/src/main/java/org/bronzelug/router/traffic/EndpointTable.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/EndpointTable.java
@@ -14,10 +14,10 @@
 import org.bronzelug.router.http.SocketSettings;
 
 /**
- * The endpoints that requests may go to.
+ * The endpoints that requests may be sent to, with their state.
  *
- * <p>Invariant: another start of an endpoint, or another address, is another state: nothing
- * believed of the one before is kept. Confined to the traffic thread.
+ * <p>Invariant: an endpoint that restarts or changes its address gets a new {@link EndpointState};
+ * nothing is carried over from the previous one. Confined to the traffic thread.
  */
 public final class EndpointTable {
     private final EventLoop traffic;
@@ -30,30 +30,30 @@
         this.wire = wire;
     }
 
-    /** Takes in the list; calls under way at endpoints that left go on. */
+    /** Applies the list of endpoints; requests in flight at removed endpoints continue. */
     void update(TrafficUpdate update) {
-        states.values().removeIf(state -> hasLeft(state, update.endpoints()));
+        states.values().removeIf(state -> isRemoved(state, update.endpoints()));
         List<EndpointState> draining = new ArrayList<>();
         for (EndpointEntry entry : update.endpoints().values()) {
-            PeerEndpointUsage use =
-                    update.peerUse().getOrDefault(entry.id(), PeerEndpointUsage.NONE);
-            boolean ordered = update.ordered().contains(entry.id());
+            PeerEndpointUsage usage =
+                    update.peerUsage().getOrDefault(entry.id(), PeerEndpointUsage.NONE);
+            boolean loadOrdered = update.loadOrdered().contains(entry.id());
             EndpointState state = states.computeIfAbsent(entry.id(), id -> open(entry));
-            if (state.update(entry, use, ordered)) {
+            if (state.update(entry, usage, loadOrdered)) {
                 draining.add(state);
             }
         }
         updateLimits(update);
-        // Only after all updates: a moved request must not select an endpoint that loads as well.
+        // Only after all updates: a moved request must not select another endpoint that loads.
         draining.forEach(EndpointState::drain);
     }
 
     private void updateLimits(TrafficUpdate update) {
         long nowNanos = System.nanoTime();
-        for (PeerLimitUsage use : update.peerLimits()) {
-            find(use.endpoint())
-                    .filter(state -> state.entry().bornMillis() == use.bornMillis())
-                    .ifPresent(state -> state.recordPeerLimit(use, nowNanos));
+        for (PeerLimitUsage peer : update.peerLimits()) {
+            find(peer.endpoint())
+                    .filter(state -> state.entry().bornMillis() == peer.bornMillis())
+                    .ifPresent(state -> state.recordPeerLimit(peer, nowNanos));
         }
         for (EndpointState state : states.values()) {
             state.limit()
@@ -65,13 +65,13 @@
         }
     }
 
-    private static boolean hasLeft(EndpointState state, Map<String, EndpointEntry> listed) {
+    private static boolean isRemoved(EndpointState state, Map<String, EndpointEntry> listed) {
         EndpointEntry entry = listed.get(state.entry().id());
-        boolean left = entry == null || !entry.isSameStart(state.entry());
-        if (left) {
+        boolean removed = entry == null || !entry.isSameStart(state.entry());
+        if (removed) {
             state.connections().closeIdle();
         }
-        return left;
+        return removed;
     }
 
     private EndpointState open(EndpointEntry entry) {
@@ -81,13 +81,13 @@
                 prefillRate(entry.pool()));
     }
 
-    /** The prefill rate of a pool; its runners have engines of one kind. */
+    /** Returns the prefill rate of a pool, whose runners all have the same kind of engine. */
     PrefillRate prefillRate(String pool) {
         return rates.computeIfAbsent(pool, name -> new PrefillRate());
     }
 
-    /** The endpoints of a pool that take new work. */
-    public List<EndpointState> takingWork(String pool) {
+    /** Returns the endpoints of a pool that accept new requests, that is, do not drain. */
+    public List<EndpointState> acceptingRequests(String pool) {
         return states.values().stream()
                 .filter(state -> state.entry().pool().equals(pool) && !state.entry().draining())
                 .toList();
--- a/router/src/main/java/org/bronzelug/router/traffic/PeerLimitUsage.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/PeerLimitUsage.java
@@ -4,15 +4,15 @@
 import org.bronzelug.core.limit.EndpointLimit;
 
 /**
- * What a peer says of an endpoint's limit. Immutable.
+ * A peer's report of an endpoint's limit and of the peer's usage of it. Immutable.
  *
  * @param vm the peer
- * @param incarnation of the peer
- * @param endpoint id
- * @param bornMillis of the start of the endpoint that named the limit
- * @param limit that the endpoint named last, as the peer knows
- * @param seenNanos when the answer came that named it, by the local monotonic clock
- * @param count of the peer's requests
+ * @param incarnation incarnation of the peer
+ * @param endpoint id of the endpoint
+ * @param bornMillis start time of the endpoint instance that advertised the limit
+ * @param limit the limit that the endpoint advertised last, as far as the peer knows
+ * @param seenNanos when the response with that limit arrived, by the local monotonic clock
+ * @param usage the peer's requests that count against the limit
  */
 public record PeerLimitUsage(
         String vm,
@@ -21,4 +21,4 @@
         long bornMillis,
         AdvertisedLimit limit,
         long seenNanos,
-        EndpointLimit.Count count) {}
+        EndpointLimit.Count usage) {}
--- a/router/src/main/java/org/bronzelug/router/traffic/PeerTeamUsage.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/PeerTeamUsage.java
@@ -3,9 +3,9 @@
 import org.bronzelug.core.limit.PeerBucketUsage;
 
 /**
- * What a peer says of a team's rate. Immutable.
+ * A peer's report of what it admitted for a team. Immutable.
  *
  * @param team the team's name
- * @param count of the peer
+ * @param usage the peer's usage of the team's rate
  */
-public record PeerTeamUsage(String team, PeerBucketUsage count) {}
+public record PeerTeamUsage(String team, PeerBucketUsage usage) {}
--- a/router/src/main/java/org/bronzelug/router/traffic/PrefixReads.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/PrefixReads.java
@@ -11,23 +11,23 @@
 import org.bronzelug.core.placement.PrefixLevel;
 
 /**
- * Which prompts were lately sent where, by this VM and by others, and which prefixes the store of
- * cache entries was given.
+ * Records the prefixes that this VM's prompts made runners prefill recently, to be reported to the
+ * peers, and the prefixes that a runner was told to save to the cache store by this VM or a peer.
  *
- * <p>The failure this prevents: each VM saves each prefix once for itself, so the store's link is
- * full of copies just after new weights, when every runner needs it. Confined to the traffic
- * thread.
+ * <p>Without the peers' reports, each VM would have every prefix saved once more. The copies would
+ * fill the store's link just after a change of weights, when every runner needs it. Confined to the
+ * traffic thread.
  */
 final class PrefixReads {
-    /** Told for four rounds, so that a lost datagram is made good. */
-    private static final long TELL_NANOS = 600_000_000L;
+    /** Each read is reported in four rounds, to compensate for lost datagrams. */
+    private static final long REPORT_NANOS = 600_000_000L;
 
-    /** The store drops what was not used for long; then a prefix is saved again. */
+    /** The store evicts unused entries, so a prefix is saved again after this time. */
     private static final long SAVED_NANOS = 30_000_000_000L;
 
     private static final int MAXIMUM_SAVED = 8_192;
 
-    private final Deque<Told> told = new ArrayDeque<>();
+    private final Deque<RecentRead> recentReads = new ArrayDeque<>();
     private final Map<SavedKey, Long> saved =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1L;
@@ -38,13 +38,13 @@
                 }
             };
 
-    /** Whether nobody is known to have saved the prefix under these weights. */
+    /** Returns whether no runner is known to have saved the prefix under these weights. */
     boolean isUnsaved(PrefixHash prefix, long version, long nowNanos) {
-        Long since = saved.get(new SavedKey(prefix, version));
-        return since == null || nowNanos - since > SAVED_NANOS;
+        Long savedNanos = saved.get(new SavedKey(prefix, version));
+        return savedNanos == null || nowNanos - savedNanos > SAVED_NANOS;
     }
 
-    /** A prompt is sent to a runner. */
+    /** Records that a runner has prefilled a prompt of this VM. */
     void record(RunnerChoice choice, String model, boolean save, long nowNanos) {
         PrefixRead.Builder read =
                 PrefixRead.newBuilder()
@@ -55,7 +55,7 @@
         for (PrefixLevel level : choice.chain().sharedLevels()) {
             read.addHashes(level.hash().high()).addHashes(level.hash().low());
         }
-        told.addLast(new Told(read.build(), nowNanos));
+        recentReads.addLast(new RecentRead(read.build(), nowNanos));
         if (save) {
             recordSaved(
                     choice.chain().deepestSharedLevel().hash(), choice.weightsVersion(), nowNanos);
@@ -66,7 +66,7 @@
         saved.put(new SavedKey(prefix, version), nowNanos);
     }
 
-    /** Another VM has sent a prompt. */
+    /** Records a prefix read that a peer reported. */
     void recordPeer(PrefixRead read, long nowNanos) {
         List<PrefixHash> hashes = hashes(read);
         if (read.getSaved() && !hashes.isEmpty()) {
@@ -82,15 +82,16 @@
         return hashes;
     }
 
-    /** What the peers are told now. */
-    List<PrefixRead> toTell(long nowNanos) {
-        while (!told.isEmpty() && nowNanos - told.peekFirst().sinceNanos > TELL_NANOS) {
-            told.pollFirst();
+    /** Returns the reads to report to the peers now, and forgets older ones. */
+    List<PrefixRead> readsToReport(long nowNanos) {
+        while (!recentReads.isEmpty()
+                && nowNanos - recentReads.peekFirst().recordedNanos > REPORT_NANOS) {
+            recentReads.pollFirst();
         }
-        return told.stream().map(Told::read).toList();
+        return recentReads.stream().map(RecentRead::read).toList();
     }
 
-    private record Told(PrefixRead read, long sinceNanos) {}
+    private record RecentRead(PrefixRead read, long recordedNanos) {}
 
     private record SavedKey(PrefixHash prefix, long version) {}
 }
--- a/router/src/main/java/org/bronzelug/router/traffic/RunnerChoice.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/RunnerChoice.java
@@ -4,17 +4,18 @@
 import org.bronzelug.core.placement.PrefixChain;
 
 /**
- * A runner chosen for a prompt.
+ * A runner chosen for a prompt. Immutable, except for the state of the endpoint.
  *
  * @param endpoint the runner
- * @param incarnation that its cache belongs to
- * @param chain of the prompt
- * @param weightsVersion that it is believed to have; 0: not known
- * @param missingTokens expected to be read
- * @param sharedCached whether the shared part is believed to be cached there
- * @param queuedTokens that wait there to be read
- * @param placement what it was reckoned to cost
- * @param considered runners that could take the prompt
+ * @param incarnation the start and version of weights that the runner's cache belongs to
+ * @param chain the prefixes of the prompt
+ * @param weightsVersion the version of the weights that the runner is estimated to have; 0 if
+ *     unknown
+ * @param missingTokens estimated number of the prompt's tokens that the runner must prefill
+ * @param sharedCached whether the prompt's shared prefix is estimated to be in the runner's cache
+ * @param queuedTokens estimated number of tokens that wait at the runner to be prefilled
+ * @param placement the placement decision with its estimated cost
+ * @param considered number of runners that could have been chosen
  */
 public record RunnerChoice(
         EndpointState endpoint,
@@ -28,7 +29,7 @@
         int considered) {
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** For the log: what the choice rests on. */
+    /** Returns the reasons for the choice as fields of a log line. */
     public String describe() {
         return (" weights=" + weightsVersion)
                 + (" missing=" + missingTokens)
--- a/router/src/main/java/org/bronzelug/router/traffic/TeamRates.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/TeamRates.java
@@ -10,36 +10,46 @@
 import org.bronzelug.log.EventLog;
 import org.bronzelug.log.LogEvent;
 
-/** The buckets of all teams with a rate. Confined to the traffic thread. */
+/**
+ * Token buckets that limit the rate of each team over the whole fleet.
+ *
+ * <p>Each VM keeps a {@link FleetBucket} per team with a rate. It charges the bucket with the
+ * tokens of the requests that it admits itself and with the usage that its peers report, so all VMs
+ * enforce one rate without asking each other before they admit a request.
+ *
+ * <p>Invariant: a team that the configuration in force lists without a rate has no bucket, and its
+ * requests are always admitted. Confined to the traffic thread.
+ */
 public final class TeamRates {
     /**
-     * The part of its burst that a bucket holds at first, where the VM does not start with the
-     * whole fleet: others may have admitted a burst just before, and more than that while their
-     * counts travelled. A restart must not forgive that debt; a fifth lets the first requests of a
-     * team in that keeps to its rate, until the rest accrues within a second or two.
+     * Fraction of its burst that a bucket holds initially if this VM joins a running fleet. The
+     * other VMs may have admitted a whole burst just before, and more during the propagation delay
+     * of their usage, and a restart must not cancel that debt. A fifth admits the first requests of
+     * a team that keeps to its rate, until the rest accrues within a second or two.
      */
-    private static final double RESTART_PART = 0.2;
+    private static final double RESTART_FRACTION = 0.2;
 
-    /** Below this part of its burst a team's count is told to all VMs at once. */
+    /** Below this fraction of its burst, a team's usage is sent to all VMs immediately. */
     private static final double CONTENDED_FRACTION = 0.5;
 
     private final boolean fleetStarts;
     private final Map<String, FleetBucket> buckets = new HashMap<>();
-    private final Map<String, Team> limited = new HashMap<>();
+    private final Map<String, Team> limitedTeams = new HashMap<>();
 
     /**
-     * @param fleetStarts whether the whole fleet starts for the first time
+     * @param fleetStarts whether the whole fleet starts for the first time, rather than only this
+     *     VM
      */
     public TeamRates(boolean fleetStarts) {
         this.fleetStarts = fleetStarts;
     }
 
     void update(TrafficUpdate update, long nowNanos) {
-        update.configuration().ifPresent(present -> present.teams().forEach(this::limit));
-        for (PeerTeamUsage use : update.peerTeams()) {
-            FleetBucket bucket = buckets.get(use.team());
+        update.configuration().ifPresent(present -> present.teams().forEach(this::applyRate));
+        for (PeerTeamUsage peer : update.peerTeams()) {
+            FleetBucket bucket = buckets.get(peer.team());
             if (bucket != null) {
-                bucket.recordPeer(use.count(), nowNanos);
+                bucket.recordPeer(peer.usage(), nowNanos);
             }
         }
         for (FleetBucket bucket : buckets.values()) {
@@ -48,30 +58,32 @@
         }
     }
 
-    private void limit(Team team) {
+    private void applyRate(Team team) {
         long nowNanos = System.nanoTime();
         if (!team.isLimited()) {
             buckets.remove(team.name());
             return;
         }
         double burst = Math.max(team.burstTokens(), team.tokensPerSecond());
-        double level = fleetStarts ? burst : burst * RESTART_PART;
-        if (!team.equals(limited.put(team.name(), team))) {
+        double initialLevel = fleetStarts ? burst : burst * RESTART_FRACTION;
+        if (!team.equals(limitedTeams.put(team.name(), team))) {
             EventLog.info(LogEvent.TEAM_RATE_CHANGED, team.toString());
         }
         buckets.computeIfAbsent(
                         team.name(),
-                        name -> new FleetBucket(team.tokensPerSecond(), burst, level, nowNanos))
+                        name ->
+                                new FleetBucket(
+                                        team.tokensPerSecond(), burst, initialLevel, nowNanos))
                 .change(team.tokensPerSecond(), burst);
     }
 
-    /** Takes tokens out of a team's bucket, all or nothing. */
+    /** Takes the tokens of a request out of a team's bucket, if the bucket admits all of them. */
     public boolean tryAcquire(Team team, long tokens, long nowNanos) {
         FleetBucket bucket = buckets.get(team.name());
         return bucket == null || bucket.tryAcquire(tokens, Math.random(), nowNanos);
     }
 
-    /** Gives back what was taken for a request that did not run. */
+    /** Returns the tokens of a request that did not run to the team's bucket. */
     public void refund(Team team, long tokens) {
         FleetBucket bucket = buckets.get(team.name());
         if (bucket != null) {
@@ -79,7 +91,7 @@
         }
     }
 
-    /** Takes tokens in any case, for a request that is sent once more and may have run before. */
+    /** Takes tokens unconditionally, for the retry of a request that may have run already. */
     public void charge(Team team, long tokens) {
         FleetBucket bucket = buckets.get(team.name());
         if (bucket != null) {
@@ -87,27 +99,25 @@
         }
     }
 
-    /** How long until the tokens are there. */
+    /** Returns how long it takes until the team's bucket admits the tokens. */
     public long nanosUntil(Team team, long tokens, long nowNanos) {
         FleetBucket bucket = buckets.get(team.name());
         return bucket == null ? 0 : bucket.nanosUntil(tokens, Math.random(), nowNanos);
     }
 
     /**
-     * Teams that are near their limit, so that each VM's count matters to the others at once.
-     *
-     * @return their names
+     * Returns the names of the teams so near their limit that peers need this VM's usage at once.
      */
     public Set<String> pressed(long nowNanos) {
-        Set<String> pressed = new HashSet<>();
+        Set<String> contended = new HashSet<>();
         buckets.forEach(
                 (team, bucket) -> {
                     boolean low = bucket.level(nowNanos) < bucket.burst() * CONTENDED_FRACTION;
                     if (low && bucket.admitted() > 0) {
-                        pressed.add(team);
+                        contended.add(team);
                     }
                 });
-        return pressed;
+        return contended;
     }
 
     /** Visits each team with a rate. */
--- a/router/src/main/java/org/bronzelug/router/traffic/TrafficState.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/TrafficState.java
@@ -11,18 +11,20 @@
 import org.bronzelug.router.settings.FleetBounds;
 
 /**
- * All that decisions on requests rest on. Confined to the traffic thread; the control thread
- * replaces its part by {@link #apply}.
+ * State that decisions on requests are based on: the configuration in force, endpoints, team rates
+ * and retry budgets. Confined to the traffic thread; the control thread passes its updates to
+ * {@link #apply} on that thread.
  */
 public final class TrafficState {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     /**
-     * The part of the fleet's retry slack that is given out. VMs that are replaced count twice for
-     * a while, and a window may hold the end of one slice more.
+     * Fraction of the fleet's retry slack that the VMs may use. The rest is a reserve: a VM and its
+     * replacement both use their portion for a while, and a window may include the end of one more
+     * slice.
      */
-    private static final double SLACK_PART = 0.7;
+    private static final double SLACK_FRACTION = 0.7;
 
     private final FleetBounds bounds;
     private final EndpointTable endpoints;
@@ -46,13 +48,13 @@
                         endpoints, availabilityZone, bounds.weightsMillis() * NANOS_PER_MILLI);
     }
 
-    /** Takes in what the control thread knows. */
+    /** Applies an update from the control thread. */
     public void apply(TrafficUpdate update) {
         configuration = update.configuration();
         vmCount = Math.max(update.vmCount(), bounds.leastVms());
         endpoints.update(update);
         choice.update(update.weights());
-        choice.recordPeers(update.peerReads(), System.nanoTime());
+        choice.recordPeerReads(update.peerReads(), System.nanoTime());
         rates.update(update, System.nanoTime());
     }
 
@@ -72,14 +74,14 @@
         return rates;
     }
 
-    /** A request goes to a pool for the first time. */
+    /** Records that a request is sent to a pool for the first time. */
     public void recordFirstAttempt(String pool, long nowNanos) {
         budget(pool).recordFirst(nowNanos);
     }
 
-    /** Takes one repeat out of this VM's part of the fleet's budget, if it is there. */
+    /** Takes one retry out of this VM's portion of the fleet's retry budget, if one is left. */
     public boolean tryRetry(RetryKind kind, String pool, long nowNanos) {
-        double slack = bounds.retrySlack() * SLACK_PART / vmCount;
+        double slack = bounds.retrySlack() * SLACK_FRACTION / vmCount;
         return budget(pool).tryRetry(kind, bounds.retryRatio(), slack, nowNanos);
     }
 
--- a/router/src/main/java/org/bronzelug/router/traffic/TrafficUpdate.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/TrafficUpdate.java
@@ -9,41 +9,45 @@
 import org.bronzelug.core.routing.RoutingConfiguration;
 
 /**
- * All that the control thread tells the traffic thread. Each one replaces the one before, but for
- * counts and reads of peers, which only grow. Immutable.
+ * An update from the control thread to the traffic thread. Each update replaces the previous one,
+ * except for the peers' usage and reads ({@code peerTeams}, {@code peerLimits} and {@code
+ * peerReads}): an update holds only those received since the previous update, and the traffic
+ * thread merges them into what it has. Immutable.
  *
- * @param configuration in force; empty until one is known
- * @param endpoints by id
- * @param weights newest, by model
- * @param peerUse by endpoint id
- * @param peerTeams what peers admitted, of those heard since the update before
- * @param peerLimits what peers know of endpoints' limits, of those heard since the update before
- * @param peerReads prompts that peers sent to runners lately, of those heard since the update
- *     before
- * @param ordered ids of endpoints that load weights now
- * @param reachableFraction the part of the fleet's VMs that is heard, this one included; in (0, 1]
- * @param vmCount VMs of the fleet, this one included
- * @param propagationDelayNanos until the count of one VM is known to all
+ * @param configuration the configuration in force; empty until one is known
+ * @param endpoints the listed endpoints by id
+ * @param weights the published target versions by model
+ * @param peerUsage the other VMs' load on each endpoint, by endpoint id
+ * @param peerTeams usage of teams' rates that peers reported since the previous update
+ * @param peerLimits endpoints' limits that peers reported since the previous update, with the
+ *     peers' usage of them
+ * @param peerReads prefixes that peers' prompts made runners prefill, as reported since the
+ *     previous update
+ * @param loadOrdered ids of the endpoints that have an order to load weights
+ * @param reachableFraction fraction of the fleet's VMs that are reachable, this VM included; in (0,
+ *     1]
+ * @param vmCount number of VMs of the fleet, this VM included
+ * @param propagationDelayNanos the time until the usage of one VM is known to all VMs
  */
 public record TrafficUpdate(
         Optional<RoutingConfiguration> configuration,
         Map<String, EndpointEntry> endpoints,
         Map<String, WeightsTarget> weights,
-        Map<String, PeerEndpointUsage> peerUse,
+        Map<String, PeerEndpointUsage> peerUsage,
         List<PeerTeamUsage> peerTeams,
         List<PeerLimitUsage> peerLimits,
         List<PrefixRead> peerReads,
-        Set<String> ordered,
+        Set<String> loadOrdered,
         double reachableFraction,
         int vmCount,
         long propagationDelayNanos) {
     public TrafficUpdate {
         endpoints = Map.copyOf(endpoints);
         weights = Map.copyOf(weights);
-        peerUse = Map.copyOf(peerUse);
+        peerUsage = Map.copyOf(peerUsage);
         peerTeams = List.copyOf(peerTeams);
         peerLimits = List.copyOf(peerLimits);
         peerReads = List.copyOf(peerReads);
-        ordered = Set.copyOf(ordered);
+        loadOrdered = Set.copyOf(loadOrdered);
     }
 }
--- a/router/src/main/java/org/bronzelug/router/traffic/WeightsTarget.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/WeightsTarget.java
@@ -5,47 +5,48 @@
 import java.util.TreeMap;
 
 /**
- * The weights named for a model. Immutable.
+ * The published target versions of a model's weights. Immutable.
  *
- * <p>Each version has its own time from which older ones are late. The failure this prevents: a
- * newer version is named every few seconds, the age starts anew each time, and a runner that is two
- * versions behind answers on and on.
+ * <p>The time of each version is kept, since a runner is behind from the publication of the first
+ * version that it lacks. If only the newest version's time were kept and a newer version were
+ * published every few seconds, the time would restart with each version, and a runner that is two
+ * versions behind would stay in use indefinitely.
  *
- * @param model its name
- * @param namedNanos when this VM first knew of each version, by its monotonic clock
+ * @param model name of the model
+ * @param namedNanos when this VM first learned of each version, by its monotonic clock
  */
 public record WeightsTarget(String model, Map<Long, Long> namedNanos) {
-    /** Versions remembered; runners are never so far behind. */
+    /** Maximum number of versions that are kept; runners are never that many versions behind. */
     private static final int MAXIMUM_VERSIONS = 32;
 
     public WeightsTarget {
         namedNanos = Map.copyOf(namedNanos);
     }
 
-    /** The first version that this VM knows of. */
+    /** Returns a target with the first version that this VM learns of. */
     public static WeightsTarget first(String model, long version, long seenNanos) {
         return new WeightsTarget(model, Map.of(version, seenNanos));
     }
 
-    /** The same model with a newer version. */
+    /** Returns a copy of this target with a newer version added. */
     public WeightsTarget with(long version, long seenNanos) {
-        TreeMap<Long, Long> named = new TreeMap<>(namedNanos);
-        named.put(version, seenNanos);
-        while (named.size() > MAXIMUM_VERSIONS) {
-            named.pollFirstEntry();
+        TreeMap<Long, Long> versions = new TreeMap<>(namedNanos);
+        versions.put(version, seenNanos);
+        while (versions.size() > MAXIMUM_VERSIONS) {
+            versions.pollFirstEntry();
         }
-        return new WeightsTarget(model, named);
+        return new WeightsTarget(model, versions);
     }
 
-    /** The newest version. */
+    /** Returns the newest version; 0 if there is none. */
     public long version() {
         return namedNanos.keySet().stream().mapToLong(Long::longValue).max().orElse(0);
     }
 
-    /** Since when a runner with this version is behind; empty where it is not. */
+    /** Returns the time since which a runner with this version is behind; empty if it is not. */
     public OptionalLong behindSinceNanos(long version) {
         return namedNanos.entrySet().stream()
-                .filter(named -> named.getKey() > version)
+                .filter(entry -> entry.getKey() > version)
                 .mapToLong(Map.Entry::getValue)
                 .min();
     }
--- a/router/src/main/java/org/bronzelug/router/traffic/package-info.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/package-info.java
@@ -1,2 +1,4 @@
-/** What the traffic thread knows: configuration, endpoints, rates; and how it chooses. */
+/**
+ * State of the traffic thread (configuration, endpoints, team rates) and the choice of endpoints.
+ */
 package org.bronzelug.router.traffic;
--- a/router/src/test/java/org/bronzelug/router/traffic/EndpointStateTest.java
+++ b/router/src/test/java/org/bronzelug/router/traffic/EndpointStateTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Requests wait for a machine without power, or are refused again and again by a runner whose
- * weights are not those believed of it.
+ * Guards against requests that wait for an endpoint without power, against repeated rejections by a
+ * runner whose weights differ from the estimate, and against wrong or unknown request limits.
  */
 class EndpointStateTest {
     private static final long MILLI = 1_000_000L;
@@ -57,21 +57,24 @@
         "something came, true, 700, 1000, false",
         "nothing more came, true, 700, 1700, true",
     })
-    void anEndpointThatOwesAnAnswerAndSaysNothingIsSuspect(
-            String name, boolean sent, long heardMillis, long nowMillis, boolean suspect) {
+    void anEndpointThatIsSilentWithRequestsInFlightIsSuspect(
+            String name, boolean sent, long activityMillis, long nowMillis, boolean suspect) {
         if (sent) {
             state.begin(() -> {}, 0);
         }
-        if (heardMillis >= 0) {
-            state.heard(heardMillis * MILLI);
+        if (activityMillis >= 0) {
+            state.recordActivity(activityMillis * MILLI);
         }
         assertThat(state.isSuspect(nowMillis * MILLI)).isEqualTo(suspect);
     }
 
-    /** A runner that reads one long prompt is taken for dead, and its other requests leave it. */
+    /**
+     * An engine sends nothing while it prefills a single long prompt. With a fixed limit the runner
+     * would be taken for dead, and its other requests would be moved to other runners.
+     */
     @ParameterizedTest
     @CsvSource({"40000, 1900, false", "40000, 2100, true", "1000, 1000, true"})
-    void aRunnerMayBeSilentWhileItReadsALongPrompt(int tokens, long nowMillis, boolean suspect) {
+    void aRunnerMayBeSilentWhileItPrefillsALongPrompt(int tokens, long nowMillis, boolean suspect) {
         state.begin(() -> {}, 0);
         state.load().begin(tokens);
         assertThat(state.isSuspect(nowMillis * MILLI)).isEqualTo(suspect);
@@ -79,14 +82,14 @@
 
     @ParameterizedTest
     @CsvSource({"100, 1, true", "500, 1, false", "100, 2, false"})
-    void aRunnerThatRefusedItsWeightsIsLeftOutUntilTheyAreKnown(
-            long nowMillis, long versionNow, boolean loading) {
+    void aRunnerWithUnknownWeightsIsExpectedToRejectUntilTheyAreKnown(
+            long nowMillis, long versionNow, boolean expected) {
         state.markWeightsUnknown(0);
         state.update(entry(versionNow), PeerEndpointUsage.NONE, false);
-        assertThat(state.isLoading(nowMillis * MILLI)).isEqualTo(loading);
+        assertThat(state.isExpectedToReject(nowMillis * MILLI)).isEqualTo(expected);
     }
 
-    private static EndpointResponse answer(AdvertisedLimit limit, boolean genuine) {
+    private static EndpointResponse response(AdvertisedLimit limit, boolean genuine) {
         return new EndpointResponse(
                 200,
                 Optional.empty(),
@@ -100,40 +103,46 @@
                 true);
     }
 
-    /** A stray or spoiled answer must neither limit an endpoint nor end its limit. */
+    /**
+     * A response that the endpoint did not stamp, or one with a malformed limit, must neither set a
+     * limit nor end the one in force.
+     */
     @Test
-    void onlyGenuineAnswersChangeTheLimit() {
-        state.recordAnswer(answer(new AdvertisedLimit.Rate(2), false));
+    void onlyGenuineResponsesWithAValidLimitChangeTheLimit() {
+        state.recordResponse(response(new AdvertisedLimit.Rate(2), false));
         assertThat(state.limit()).isEmpty();
-        state.recordAnswer(answer(new AdvertisedLimit.Rate(2), true));
+        state.recordResponse(response(new AdvertisedLimit.Rate(2), true));
         assertThat(state.limit().get().limit()).isEqualTo(new AdvertisedLimit.Rate(2));
-        state.recordAnswer(answer(new AdvertisedLimit.None(), false));
-        state.recordAnswer(answer(new AdvertisedLimit.Malformed("x"), true));
+        state.recordResponse(response(new AdvertisedLimit.None(), false));
+        state.recordResponse(response(new AdvertisedLimit.Malformed("x"), true));
         assertThat(state.limit().get().isNamed()).isTrue();
-        state.recordAnswer(answer(new AdvertisedLimit.None(), true));
+        state.recordResponse(response(new AdvertisedLimit.None(), true));
         assertThat(state.limit().get().isNamed()).isFalse();
     }
 
-    /** A VM that has had no answer of the endpoint lately floods it, though its peers know. */
+    /**
+     * A VM that has received no recent response of the endpoint would exceed its limit, although
+     * the VM's peers know the limit.
+     */
     @Test
-    void aLimitIsLearntFromAPeerAndItsRequestsCount() {
+    void aPeersReportSetsTheLimitAndItsUsageCounts() {
         long nowNanos = System.nanoTime();
-        EndpointLimit.Count count = new EndpointLimit.Count(5_000, 5_000, -3_000);
+        EndpointLimit.Count usage = new EndpointLimit.Count(5_000, 5_000, -3_000);
         state.recordPeerLimit(
                 new PeerLimitUsage(
-                        "vm-2", "one", "a", 1, new AdvertisedLimit.Rate(2), nowNanos, count),
+                        "vm-2", "one", "a", 1, new AdvertisedLimit.Rate(2), nowNanos, usage),
                 nowNanos);
         assertThat(state.limit().get().isNamed()).isTrue();
         assertThat(state.limit().get().level(nowNanos)).isWithin(0.1).of(-3);
     }
 
     @Test
-    void whatMayGoElsewhereIsSentAwayOnceWhenLoadingBegins() {
-        List<String> asked = new ArrayList<>();
-        state.begin(() -> asked.add("r1"), 0);
+    void requestsInFlightAreNotifiedOnceWhenLoadingIsOrdered() {
+        List<String> notified = new ArrayList<>();
+        state.begin(() -> notified.add("r1"), 0);
         assertThat(state.update(entry(1), PeerEndpointUsage.NONE, true)).isTrue();
         state.drain();
         assertThat(state.update(entry(1), PeerEndpointUsage.NONE, true)).isFalse();
-        assertThat(asked).containsExactly("r1");
+        assertThat(notified).containsExactly("r1");
     }
 }
--- a/router/src/test/java/org/bronzelug/router/traffic/NoWireFormat.java
+++ b/router/src/test/java/org/bronzelug/router/traffic/NoWireFormat.java
@@ -8,7 +8,7 @@
 import org.bronzelug.router.exchange.RequestHead;
 import org.bronzelug.router.exchange.WireFormat;
 
-/** For tests that send nothing. Stateless. */
+/** Wire format for tests that send no requests; every method fails. Stateless. */
 final class NoWireFormat implements WireFormat {
     @Override
     public RequestHead decodeRequest(HttpRequest request) {
