--- a/router/src/main/java/org/bronzelug/router/exchange/AdmittedRequest.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/AdmittedRequest.java
@@ -6,15 +6,15 @@
 import org.bronzelug.core.routing.Team;
 
 /**
- * A request that may be served. Immutable.
+ * A request that {@link Forwarder} has admitted, with its routing decision. Immutable.
  *
- * @param head the request
- * @param route that it takes
- * @param team whose rate is charged
- * @param tokens that were taken out of the team's rate
- * @param pool that serves it; empty where the configuration names none
- * @param configurationVersion that decided
- * @param arrivedNanos when it had arrived whole, by the local monotonic clock
+ * @param head the decoded head of the request
+ * @param route the route that the request takes
+ * @param team the team whose rate is charged; empty if none is
+ * @param tokens the tokens that were taken out of the team's rate
+ * @param pool the pool that serves the request; empty if the configuration does not define it
+ * @param configurationVersion version of the configuration that the routing decision is based on
+ * @param arrivedNanos when the whole request had arrived, by the local monotonic clock
  */
 record AdmittedRequest(
         RequestHead head,
@@ -24,8 +24,10 @@
         Optional<EndpointPool> pool,
         long configurationVersion,
         long arrivedNanos) {
-    /** Keeps a dedicated team's cache entries apart from all others'. */
-    String wall() {
+    /**
+     * Returns a name that separates a dedicated team's cache entries; empty for all other teams.
+     */
+    String cachePartition() {
         return team.filter(Team::dedicated).map(Team::name).orElse("");
     }
 }
--- a/router/src/main/java/org/bronzelug/router/exchange/Attempts.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Attempts.java
@@ -8,18 +8,25 @@
 import org.bronzelug.router.traffic.TrafficState;
 
 /**
- * The sends of one request, and whether it may be sent once more.
+ * Counts the attempts of one request and decides whether it may be sent to one more endpoint.
  *
- * <p>Invariant: an endpoint that stated not to have executed the request uses up none of the
- * route's attempts. Confined to the traffic thread.
+ * <p>After an endpoint stated that it did not execute the request, the request may be retried on
+ * every route, as long as it was sent fewer than {@link #MAXIMUM_SENDS} times. After an attempt
+ * that may have run, it may be retried only if its route allows that, up to the route's maximum
+ * number of endpoints. Both kinds of retry also take one unit of the pool's retry budget, which
+ * keeps retries from adding to an overload. An attempt whose connection could not be opened does
+ * not count.
+ *
+ * <p>Invariant: an endpoint that stated that it did not execute the request does not count against
+ * the route's maximum. Confined to the traffic thread.
  */
 final class Attempts {
-    /** Sends of one request that were all stated not to have run. */
+    /** Maximum number of sends of a request that no endpoint has executed. */
     private static final int MAXIMUM_SENDS = 3;
 
     private final TrafficState state;
     private final AdmittedRequest admitted;
-    private final Set<String> sentTo = new HashSet<>();
+    private final Set<String> uncertainEndpoints = new HashSet<>();
     private int sends;
     private int uncertainSends;
 
@@ -28,46 +35,54 @@
         this.admitted = admitted;
     }
 
-    /** The request was written to the endpoint. */
+    /** Records that the request was written to the endpoint. */
     void recordSent(EndpointState endpoint) {
         sends++;
         uncertainSends++;
-        sentTo.add(endpoint.entry().id());
+        uncertainEndpoints.add(endpoint.entry().id());
     }
 
-    /** The endpoint states that it did not run the request. */
+    /** Records that the endpoint stated that it did not execute the request. */
     void recordNotExecuted(EndpointState endpoint) {
         uncertainSends--;
-        sentTo.remove(endpoint.entry().id());
+        uncertainEndpoints.remove(endpoint.entry().id());
     }
 
-    /** How often the request was sent. */
+    /** Returns how often the request was sent. */
     int sends() {
         return sends;
     }
 
-    /** Whether the request was sent and not stated to be not executed. */
+    /** Returns whether the request may have run: not all endpoints stated that it did not. */
     boolean mayHaveRun() {
         return uncertainSends > 0;
     }
 
-    /** Whether a request that ran nowhere may be sent to one more endpoint; takes the budget. */
+    /**
+     * Takes a retry for a request that an endpoint did not execute.
+     *
+     * @return whether the request may be sent to one more endpoint
+     */
     boolean tryAfterRejection() {
         return sends < MAXIMUM_SENDS && takeRetry(RetryKind.REQUIRED);
     }
 
-    /** Whether a request that may have run may be sent to one more endpoint; takes the budget. */
+    /**
+     * Takes a retry for a request that may have run.
+     *
+     * @return whether the request may be sent to one more endpoint
+     */
     boolean tryRetry() {
         return isRetryable() && takeRetry(RetryKind.REQUIRED);
     }
 
-    /** Whether the route allows one more endpoint for a request that may have run. */
+    /** Returns whether the route allows one more endpoint for a request that may have run. */
     boolean isRetryable() {
-        boolean repeatable = admitted.route().repeat() != RetryPolicy.AT_MOST_ONCE;
-        return repeatable && sentTo.size() < admitted.route().maximumAttempts();
+        boolean retryable = admitted.route().repeat() != RetryPolicy.AT_MOST_ONCE;
+        return retryable && uncertainEndpoints.size() < admitted.route().maximumAttempts();
     }
 
-    /** Takes one repeat out of the budget, if it is there. */
+    /** Takes one retry out of the pool's budget, if one is left. */
     boolean takeRetry(RetryKind kind) {
         return admitted.pool()
                 .map(pool -> state.tryRetry(kind, pool.name(), System.nanoTime()))
--- a/router/src/main/java/org/bronzelug/router/exchange/Dispatch.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Dispatch.java
@@ -5,17 +5,17 @@
 import java.util.OptionalLong;
 
 /**
- * What the router tells an endpoint with one request. Immutable.
+ * The values that the router passes to an endpoint in the headers of a request. Immutable.
  *
- * @param requestId as the caller sent it
- * @param endpointId the incarnation that alone may run it
- * @param team whose key came with the request
- * @param priority 0 to 9, 0 first
- * @param weightsVersion that alone may generate
- * @param cacheSalt keeps prefixes of different versions and dedicated teams apart
- * @param fetchFrom where the runner looks for cache entries that it lacks
- * @param saveTo where it keeps a copy of those that it makes
- * @param lastEventId after which a stream goes on
+ * @param requestId the request's id, as the caller sent it
+ * @param endpointId id of the only endpoint incarnation that may execute the request
+ * @param team the team whose rate is charged
+ * @param priority 0 to 9, where 0 is served first
+ * @param weightsVersion the only version of the weights that the response may be generated on
+ * @param cacheSalt separates the cached prefixes of different versions and of dedicated teams
+ * @param fetchFrom address of the store from which the runner fetches missing cache entries
+ * @param saveTo address of the store to which the runner copies the cache entries that it creates
+ * @param lastEventId id of the event after which the stream is to resume
  */
 public record Dispatch(
         String requestId,
--- a/router/src/main/java/org/bronzelug/router/exchange/EndpointRequestBuilder.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/EndpointRequestBuilder.java
@@ -18,11 +18,12 @@
 import org.bronzelug.router.traffic.TrafficState;
 
 /**
- * Makes the requests that endpoints get of one admitted request. Confined to the traffic thread.
+ * Builds the requests that are sent to endpoints for one admitted request.
  *
- * <p>Cache entries are kept apart by the version of the weights: the salt names it, and the request
- * runs on that version only. The failure this prevents: a runner fetches entries that another one
- * made under older weights, and generates from a memory that does not fit.
+ * <p>Cache entries are separated by the version of the weights: the cache salt contains it, and the
+ * request may run on that version only. Without this, a runner could fetch entries that another
+ * runner computed with older weights, and generate from a state that does not match its own
+ * weights. Confined to the traffic thread.
  */
 final class EndpointRequestBuilder {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -39,10 +40,10 @@
     }
 
     /**
-     * The request for one endpoint.
+     * Builds the request for one endpoint.
      *
-     * @param runner present where tokens are generated
-     * @param lastEventId of a stream that goes on elsewhere
+     * @param runner the choice of the runner; empty for requests without a prompt
+     * @param lastEventId id of the last event that the caller has got of a stream to be resumed
      */
     FullHttpRequest build(
             FullHttpRequest request,
@@ -53,11 +54,11 @@
         Dispatch dispatch = dispatch(endpoint, runner, lastEventId, nowNanos);
         HttpHeaders headers = wire.endpointHeaders(request, dispatch);
         headers.set(HttpHeaderNames.HOST, request.headers().get(HttpHeaderNames.HOST));
-        boolean bodiless =
+        boolean withoutBody =
                 !request.content().isReadable()
                         && (request.method().equals(HttpMethod.GET)
                                 || request.method().equals(HttpMethod.HEAD));
-        if (!bodiless) {
+        if (!withoutBody) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
         }
         return new DefaultFullHttpRequest(
@@ -83,9 +84,10 @@
                 admitted.head().id(),
                 endpoint.entry().id(),
                 admitted.team().map(Team::name),
-                runner.isPresent() ? OptionalInt.of(urgency()) : OptionalInt.empty(),
+                runner.isPresent() ? OptionalInt.of(priority()) : OptionalInt.empty(),
                 weightsVersion(runner),
-                runner.map(choice -> "v" + choice.weightsVersion() + "/" + admitted.wall()),
+                runner.map(
+                        choice -> "v" + choice.weightsVersion() + "/" + admitted.cachePartition()),
                 store,
                 store.filter(address -> saving),
                 lastEventId.isPresent()
@@ -93,12 +95,15 @@
                         : admitted.head().lastEventId());
     }
 
-    /** Whether the last request that was built tells the runner to save what it reads. */
+    /** Returns whether the last request built tells the runner to save the prompt's prefix. */
     boolean isSaving() {
         return saving;
     }
 
-    /** What is left until the caller's deadline; zero or less once it has passed. */
+    /**
+     * Returns the time left until the caller's deadline, zero or less once it has passed; empty if
+     * there is none.
+     */
     OptionalLong remainingMillis(long nowNanos) {
         OptionalLong deadline = admitted.head().deadlineMillis();
         if (deadline.isEmpty()) {
@@ -108,7 +113,9 @@
         return OptionalLong.of(deadline.getAsLong() - elapsedMillis);
     }
 
-    /** Whether the caller's deadline has passed, so that no endpoint is to be sent the request. */
+    /**
+     * Returns whether the caller's deadline has passed, so the request must not be sent any more.
+     */
     boolean isExpired(long nowNanos) {
         OptionalLong remaining = remainingMillis(nowNanos);
         return remaining.isPresent() && remaining.getAsLong() <= 0;
@@ -120,8 +127,8 @@
                 .orElseGet(OptionalLong::empty);
     }
 
-    private int urgency() {
-        OptionalInt teamRank = admitted.team().map(Team::priority).orElse(OptionalInt.empty());
-        return PromptUrgency.of(teamRank, admitted.route().priority());
+    private int priority() {
+        OptionalInt teamPriority = admitted.team().map(Team::priority).orElse(OptionalInt.empty());
+        return PromptUrgency.of(teamPriority, admitted.route().priority());
     }
 }
--- a/router/src/main/java/org/bronzelug/router/exchange/EndpointSelection.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/EndpointSelection.java
@@ -15,11 +15,16 @@
 /**
  * Selects the endpoint for the next attempt of a request, and rejects prompts under overload.
  *
- * <p>Invariant: an endpoint is chosen at most once, until {@link #clearTried}. Confined to the
- * traffic thread.
+ * <p>{@link #choose} takes the best endpoint of {@link org.bronzelug.router.traffic.EndpointChoice}
+ * and charges the request to the limit that the endpoint advertises. If the limit admits no more
+ * requests, the next best endpoint is considered. A prompt whose estimated queue delay is too long
+ * for its goal is rejected instead; {@link #retryAfterMillis} is then present.
+ *
+ * <p>Invariants: an endpoint that was tried is not chosen again until {@link #clearTried}. A prompt
+ * that was sent once is never rejected for overload. Confined to the traffic thread.
  */
 final class EndpointSelection {
-    /** Of the most urgent routes. */
+    /** Priority of the most urgent routes. */
     private static final int HIGHEST_PRIORITY = 0;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -30,8 +35,8 @@
     private final Set<EndpointState> limited = new HashSet<>();
     private Optional<RunnerChoice> runner = Optional.empty();
     private OptionalLong retryAfterMillis = OptionalLong.empty();
-    private Optional<EndpointLimit> taken = Optional.empty();
-    private boolean sent;
+    private Optional<EndpointLimit> chargedLimit = Optional.empty();
+    private boolean sentBefore;
 
     EndpointSelection(TrafficState state, AdmittedRequest admitted) {
         this.state = state;
@@ -39,15 +44,17 @@
     }
 
     /**
-     * The endpoint to send to now, out of whose limit the request is taken; empty where none takes
-     * the request.
+     * Chooses the endpoint to send to now, and charges the request to that endpoint's limit. If
+     * {@link #retryAfterMillis} is present afterwards, the request must be rejected instead.
+     *
+     * @return the endpoint; empty if none accepts the request
      */
     Optional<EndpointState> choose(long nowNanos) {
         limited.clear();
-        Optional<EndpointState> best = best(nowNanos);
+        Optional<EndpointState> best = selectBest(nowNanos);
         while (best.isPresent() && !isRejected() && !tryAcquire(best.get(), nowNanos)) {
             limited.add(best.get());
-            best = best(nowNanos);
+            best = selectBest(nowNanos);
         }
         return best;
     }
@@ -55,22 +62,26 @@
     private boolean tryAcquire(EndpointState endpoint, long nowNanos) {
         Optional<EndpointLimit> limit = endpoint.limit().filter(EndpointLimit::isNamed);
         double draw = ThreadLocalRandom.current().nextDouble();
-        boolean takes =
+        boolean acquired =
                 limit.isEmpty()
                         || limit.get()
-                                .tryAcquire(size(), hasUnlimitedEndpoint(nowNanos), draw, nowNanos);
-        if (takes) {
-            taken = limit;
+                                .tryAcquire(
+                                        requestSize(),
+                                        hasUnlimitedEndpoint(nowNanos),
+                                        draw,
+                                        nowNanos);
+        if (acquired) {
+            chargedLimit = limit;
         }
-        return takes;
+        return acquired;
     }
 
-    /** Requests without a prompt are taken to be alike. */
-    private long size() {
+    /** Returns the request's size in tokens; requests without a prompt all have the same size. */
+    private long requestSize() {
         return admitted.head().prompt().map(prompt -> (long) prompt.totalTokens()).orElse(1L);
     }
 
-    /** Whether the request can go to an endpoint that has named no limit. */
+    /** Returns whether the request can be sent to an endpoint that advertises no limit. */
     private boolean hasUnlimitedEndpoint(long nowNanos) {
         return state.endpoints().acceptingRequests(admitted.pool().orElseThrow().name()).stream()
                 .filter(endpoint -> isAllowed(endpoint.entry().id()))
@@ -79,13 +90,15 @@
                 .anyMatch(endpoint -> endpoint.limit().filter(EndpointLimit::isNamed).isEmpty());
     }
 
-    /** The request did not reach the endpoint that was chosen last. */
+    /**
+     * Refunds the last choice to the endpoint's limit, as the request did not reach the endpoint.
+     */
     void refund(long nowNanos) {
-        taken.ifPresent(limit -> limit.refund(nowNanos));
-        taken = Optional.empty();
+        chargedLimit.ifPresent(limit -> limit.refund(nowNanos));
+        chargedLimit = Optional.empty();
     }
 
-    /** When one of the endpoints that are at their limits takes one more request. */
+    /** Returns when the first of the endpoints at their limits accepts one more request. */
     OptionalLong limitRetryMillis(long nowNanos) {
         return limited.stream()
                 .flatMap(endpoint -> endpoint.limit().stream())
@@ -99,12 +112,12 @@
                 .min();
     }
 
-    /** Endpoints that would have been chosen but for their limits. */
+    /** Returns the endpoints that the last choice skipped because of their limits. */
     Set<EndpointState> limited() {
         return limited;
     }
 
-    private Optional<EndpointState> best(long nowNanos) {
+    private Optional<EndpointState> selectBest(long nowNanos) {
         runner = Optional.empty();
         retryAfterMillis = OptionalLong.empty();
         if (admitted.pool().isEmpty()) {
@@ -120,25 +133,25 @@
                         .chooseRunner(
                                 pool.name(),
                                 prompt.get(),
-                                admitted.wall(),
+                                admitted.cachePartition(),
                                 this::isAllowed,
                                 nowNanos);
-        retryAfterMillis = admission();
+        retryAfterMillis = overloadRetryMillis();
         return runner.map(RunnerChoice::endpoint);
     }
 
-    /** Whether the request has not been to an endpoint yet, and its limit takes one more. */
+    /** Returns whether the endpoint was neither tried before nor found to be at its limit. */
     private boolean isAllowed(String id) {
         return !tried.contains(id)
                 && limited.stream().noneMatch(endpoint -> endpoint.entry().id().equals(id));
     }
 
-    /** What the last choice rests on, where tokens are generated. */
+    /** Returns the details of the last choice; empty for requests without a prompt. */
     Optional<RunnerChoice> runner() {
         return runner;
     }
 
-    /** The retry delay of a prompt that is rejected; one that was sent before never is. */
+    /** Returns the retry delay if the last choice rejected the prompt for overload, else empty. */
     OptionalLong retryAfterMillis() {
         return retryAfterMillis;
     }
@@ -147,8 +160,8 @@
         return retryAfterMillis.isPresent();
     }
 
-    private OptionalLong admission() {
-        boolean begun = sent || admitted.head().lastEventId().isPresent();
+    private OptionalLong overloadRetryMillis() {
+        boolean begun = sentBefore || admitted.head().lastEventId().isPresent();
         if (begun || runner.isEmpty()) {
             return OptionalLong.empty();
         }
@@ -161,10 +174,10 @@
 
     void recordTried(EndpointState endpoint) {
         tried.add(endpoint.entry().id());
-        sent = true;
+        sentBefore = true;
     }
 
-    /** All endpoints may be chosen again, as some time has passed. */
+    /** Allows all endpoints to be chosen again, since some time has passed. */
     void clearTried() {
         tried.clear();
     }
--- a/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
@@ -22,11 +22,19 @@
 import org.bronzelug.router.traffic.TrafficState;
 
 /**
- * One admitted request: sent to an endpoint, perhaps to another one, and answered once.
+ * Forwards one admitted request and completes it exactly once: with a response, with an error, or
+ * by closing the caller's connection within a response.
  *
- * <p>Invariant: a request that was handed to a connection and not stated to be not executed is sent
- * again only where its route allows that; and "not run" is said only where it holds for all
- * attempts. Confined to the traffic thread.
+ * <p>The request is sent to one endpoint at a time. If an attempt fails before the caller has got
+ * any part of a response, the request is retried at another endpoint if {@link Attempts} allows it.
+ * A resumable stream is resumed at another endpoint after the last event that was forwarded.
+ * Otherwise the caller gets an error, or its connection is closed. A request whose endpoint is
+ * stalled, and a resumable stream whose endpoint is about to load weights, also move to another
+ * endpoint, but only after that one has been chosen.
+ *
+ * <p>Invariants: a request that may have run, since it was written to a connection and not reported
+ * as not executed, is sent again only if its route allows retries. The caller is told that the
+ * request has not run only if that holds for all attempts. Confined to the traffic thread.
  */
 final class Exchange implements ResponseListener, CallerListener, EndpointState.DrainListener {
     private static final int BAD_GATEWAY = 502;
@@ -37,20 +45,18 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /**
-     * How long past the caller's deadline an answer is waited for. The endpoint knows the deadline
-     * and answers by then itself; its answer takes a moment.
+     * How long after the caller's deadline the response is awaited. The endpoint knows the deadline
+     * and responds by then; its response takes a moment to arrive.
      */
     private static final long DEADLINE_GRACE_MILLIS = 150;
 
-    /** Retry after a refusal for want of endpoints: a runner is back, or replaced, in a second. */
+    /** Retry delay if no endpoint is available; a runner is back or replaced within a second. */
     private static final long NO_ENDPOINT_RETRY_MILLIS = 250;
 
-    /** Plain calls take a sixth of their goal; one that takes twice the goal is stuck. */
+    /** Plain requests take a sixth of their goal time; one that takes twice the goal is stuck. */
     private static final int STALLED_GOAL_MULTIPLE = 2;
 
-    /**
-     * Half of the gap between events that callers bear at least, in steps of a datagram's round.
-     */
+    /** Half of the gap between events that callers tolerate, in rounds of state updates. */
     private static final int MAXIMUM_RESUME_DELAYS = 7;
 
     private static final long RESUME_DELAY_MILLIS = 150;
@@ -66,7 +72,7 @@
     private int resumeDelays;
     private final EndpointSelection selection;
     private final Attempts attempts;
-    private final EndpointRequestBuilder requests;
+    private final EndpointRequestBuilder builder;
     private final PrefillProgress prefill;
     private final SilenceWatch silence;
     private final ExchangeLog log;
@@ -74,7 +80,7 @@
     private Optional<ScheduledFuture<?>> timeout = Optional.empty();
     private Optional<EndpointState> endpoint = Optional.empty();
     private Optional<EndpointCall> call = Optional.empty();
-    private long firstNanos;
+    private long firstDataNanos;
     private long sentNanos;
     private boolean done;
 
@@ -95,7 +101,7 @@
         this.admitted = admitted;
         this.selection = new EndpointSelection(state, admitted);
         this.attempts = new Attempts(state, admitted);
-        this.requests = new EndpointRequestBuilder(state, wire, admitted);
+        this.builder = new EndpointRequestBuilder(state, wire, admitted);
         this.prefill = new PrefillProgress(state, admitted);
         this.silence = new SilenceWatch(traffic, this::moveIfStalled);
         this.log = new ExchangeLog(admitted);
@@ -125,8 +131,8 @@
 
     private void dispatch() {
         long nowNanos = System.nanoTime();
-        if (requests.isExpired(nowNanos)) {
-            giveUp(DEADLINE_PASSED);
+        if (builder.isExpired(nowNanos)) {
+            abandon(DEADLINE_PASSED);
             return;
         }
         endpoint = selection.choose(nowNanos);
@@ -146,7 +152,7 @@
         send(endpoint.get(), nowNanos);
     }
 
-    /** Sends to an endpoint that was chosen. */
+    /** Starts an attempt at the chosen endpoint. */
     private void send(EndpointState chosen, long nowNanos) {
         endpoint = Optional.of(chosen);
         chargeRetry();
@@ -157,7 +163,7 @@
         log.sent(chosen, prefill.runner(), selection.limited());
         metrics.routed(nowNanos - admitted.arrivedNanos());
         FullHttpRequest copy =
-                requests.build(request, chosen, prefill.runner(), relay.lastEventId(), nowNanos);
+                builder.build(request, chosen, prefill.runner(), relay.lastEventId(), nowNanos);
         call = Optional.of(chosen.connections().send(copy, admitted.head().id(), this, nowNanos));
     }
 
@@ -165,13 +171,13 @@
         OptionalLong limitMillis = selection.limitRetryMillis(nowNanos);
         if (limitMillis.isPresent()) {
             metrics.count("requests_past_endpoint_limits");
-            giveUp("endpoints are at the limits that they named", limitMillis.getAsLong());
+            abandon("endpoints are at the limits that they named", limitMillis.getAsLong());
         } else {
-            giveUp("no endpoint takes the request");
+            abandon("no endpoint takes the request");
         }
     }
 
-    /** A request that may have run before counts once more against its team's rate. */
+    /** Charges the team's rate again if the request may have run in an earlier attempt. */
     private void chargeRetry() {
         if (attempts.mayHaveRun()) {
             admitted.team().ifPresent(team -> state.rates().charge(team, admitted.tokens()));
@@ -181,13 +187,13 @@
     @Override
     public boolean beforeSend(HttpHeaders headers) {
         long nowNanos = System.nanoTime();
-        if (requests.isExpired(nowNanos)) {
+        if (builder.isExpired(nowNanos)) {
             selection.refund(nowNanos);
             endAttempt();
-            giveUp(DEADLINE_PASSED);
+            abandon(DEADLINE_PASSED);
             return false;
         }
-        requests.remainingMillis(nowNanos).ifPresent(millis -> wire.setDeadline(headers, millis));
+        builder.remainingMillis(nowNanos).ifPresent(millis -> wire.setDeadline(headers, millis));
         return true;
     }
 
@@ -206,64 +212,64 @@
     }
 
     @Override
-    public void onHead(EndpointResponse answer, HttpResponse response) {
-        EndpointState answering = endpoint.orElseThrow();
-        answering.recordResponse(answer);
-        answering.recordActivity(System.nanoTime());
-        prefill.answered(answering, answer);
-        if (answer.notExecuted() || answer.status() == MISDIRECTED) {
-            onNotExecuted(answer);
+    public void onHead(EndpointResponse head, HttpResponse response) {
+        EndpointState responding = endpoint.orElseThrow();
+        responding.recordResponse(head);
+        responding.recordActivity(System.nanoTime());
+        prefill.recordHead(responding, head);
+        if (head.notExecuted() || head.status() == MISDIRECTED) {
+            onNotExecuted(head);
             return;
         }
-        boolean spoiled = answer.isSuccess() && !answer.genuine();
-        boolean failed = spoiled || answer.isServerError();
+        boolean notGenuine = head.isSuccess() && !head.genuine();
+        boolean failed = notGenuine || head.isServerError();
         if (failed) {
             Optional<EndpointState> other = chooseForRetry(RetryKind.REQUIRED);
             if (other.isPresent()) {
                 cancelCall();
-                answering.recordFailure(System.nanoTime());
-                log.moved(endAttempt(), attempts.sends(), "answered " + answer.status());
+                responding.recordFailure(System.nanoTime());
+                log.moved(endAttempt(), attempts.sends(), "answered " + head.status());
                 send(other.get(), System.nanoTime());
                 return;
             }
         }
-        if (spoiled) {
+        if (notGenuine) {
             cancelCall();
             endAttempt().recordFailure(System.nanoTime());
             fail(BAD_GATEWAY, "the endpoint's answer is not genuine");
             return;
         }
-        relay.begin(answer, response);
+        relay.begin(head, response);
     }
 
-    /** The endpoint states that nothing ran: the request may go elsewhere, within the budget. */
-    private void onNotExecuted(EndpointResponse answer) {
+    /** Retries a request that the endpoint did not execute, within the retry budget. */
+    private void onNotExecuted(EndpointResponse head) {
         cancelCall();
-        EndpointState refusing = endAttempt();
-        attempts.recordNotExecuted(refusing);
-        if (answer.status() == MISDIRECTED) {
-            refusing.markWeightsUnknown(System.nanoTime());
+        EndpointState rejecting = endAttempt();
+        attempts.recordNotExecuted(rejecting);
+        if (head.status() == MISDIRECTED) {
+            rejecting.markWeightsUnknown(System.nanoTime());
         } else {
-            refusing.recordFailure(System.nanoTime());
+            rejecting.recordFailure(System.nanoTime());
         }
-        log.moved(refusing, attempts.sends(), "not executed, status " + answer.status());
+        log.moved(rejecting, attempts.sends(), "not executed, status " + head.status());
         if (!relay.hasBegun() && attempts.tryAfterRejection()) {
             dispatch();
         } else {
-            giveUp("endpoints refuse, last with " + answer.status());
+            abandon("endpoints refuse, last with " + head.status());
         }
     }
 
     @Override
     public void onData(ByteBuf data) {
         long nowNanos = System.nanoTime();
-        endpoint.ifPresent(answering -> answering.recordActivity(nowNanos));
-        if (firstNanos == 0) {
-            firstNanos = nowNanos;
+        endpoint.ifPresent(responding -> responding.recordActivity(nowNanos));
+        if (firstDataNanos == 0) {
+            firstDataNanos = nowNanos;
         }
-        boolean wholePrompt = requests.isSaving() && relay.lastEventId().isEmpty();
-        prefill.received(wholePrompt, requests.isSaving(), nowNanos);
-        if (!relay.data(data)) {
+        boolean wholePrompt = builder.isSaving() && relay.lastEventId().isEmpty();
+        prefill.recordData(wholePrompt, builder.isSaving(), nowNanos);
+        if (!relay.forward(data)) {
             cancelCall();
             endAttempt();
             caller.abort();
@@ -298,7 +304,7 @@
         fail(BAD_GATEWAY, cause);
     }
 
-    /** The answer has begun: a stream goes on elsewhere if it may, anything else is broken off. */
+    /** Resumes a begun response at another endpoint if it can be, or closes the connection. */
     private void resumeOrAbort(String cause) {
         if (relay.prepareResume() && attempts.tryRetry()) {
             log.streamMoved(cause);
@@ -310,11 +316,11 @@
     }
 
     /**
-     * A begun stream that no endpoint takes just now is tried again a little later.
+     * Schedules another attempt for a begun stream that no endpoint accepts now.
      *
-     * <p>The failure this prevents: it left a runner that was to load weights, the next one began
-     * to load at the same moment and refused it, and its caller saw it break off although both
-     * runners took requests again within a second. Callers bear a gap of two seconds and more.
+     * <p>Without this, a stream that left a runner which was to load weights broke off if the next
+     * runner began to load at the same moment and rejected it, although both accepted requests
+     * again within a second. Callers tolerate a gap of at least two seconds.
      */
     private boolean scheduleResume() {
         if (!relay.canResume() || resumeDelays >= MAXIMUM_RESUME_DELAYS) {
@@ -333,26 +339,26 @@
         if (attempts.takeRetry(RetryKind.REQUIRED)) {
             dispatch();
         } else {
-            giveUp("no repeat left for the stream");
+            abandon("no retry left for the stream");
         }
     }
 
     private void moveIfStalled() {
-        if (endpoint.filter(waiting -> isStalled(waiting, System.nanoTime())).isPresent()) {
+        if (endpoint.filter(current -> isStalled(current, System.nanoTime())).isPresent()) {
             moveToOther("endpoint is silent", RetryKind.REQUIRED);
         }
     }
 
-    private boolean isStalled(EndpointState waiting, long nowNanos) {
+    private boolean isStalled(EndpointState current, long nowNanos) {
         long waitedMillis = (nowNanos - sentNanos) / NANOS_PER_MILLI;
         boolean slow =
                 !route().stream()
-                        && firstNanos == 0
+                        && firstDataNanos == 0
                         && waitedMillis > STALLED_GOAL_MULTIPLE * route().goalMillis();
-        return slow || waiting.isSilent(nowNanos);
+        return slow || current.isSilent(nowNanos);
     }
 
-    /** Moves a resumable stream to another runner, so that this one loads weights sooner. */
+    /** Moves a resumable stream to another runner, so that its runner can load weights sooner. */
     @Override
     public void onDrain() {
         if (route().repeat() == RetryPolicy.RESUMABLE) {
@@ -361,12 +367,12 @@
     }
 
     /**
-     * An endpoint that takes the request now, for one that may be repeated; it is chosen before the
-     * answer that is under way is given up, as there may be none.
+     * Chooses another endpoint and takes a retry, if the request may be retried. Called before the
+     * current attempt is cancelled, since there may be no other endpoint.
      */
     private Optional<EndpointState> chooseForRetry(RetryKind kind) {
         long nowNanos = System.nanoTime();
-        if (!attempts.isRetryable() || requests.isExpired(nowNanos)) {
+        if (!attempts.isRetryable() || builder.isExpired(nowNanos)) {
             return Optional.empty();
         }
         Optional<EndpointState> other = selection.choose(nowNanos);
@@ -377,7 +383,7 @@
         return other;
     }
 
-    /** Goes to another endpoint if that is allowed and one takes the request; otherwise stays. */
+    /** Moves the request if that is allowed and another endpoint accepts it; otherwise it stays. */
     private void moveToOther(String cause, RetryKind kind) {
         boolean possible = !relay.hasBegun() || relay.canResume();
         Optional<EndpointState> other = possible ? chooseForRetry(kind) : Optional.empty();
@@ -403,20 +409,22 @@
         endpoint.ifPresent(state -> endAttempt());
         if (relay.hasBegun()) {
             caller.abort();
-            finish("broken", "timeout within the answer");
+            finish("broken", "timeout before the response was complete");
         } else if (attempts.mayHaveRun()) {
             fail(GATEWAY_TIMEOUT, "no answer in time");
         } else {
-            giveUp("no endpoint in time");
+            abandon("no endpoint in time");
         }
     }
 
-    private void giveUp(String reason) {
-        giveUp(reason, NO_ENDPOINT_RETRY_MILLIS);
+    private void abandon(String reason) {
+        abandon(reason, NO_ENDPOINT_RETRY_MILLIS);
     }
 
-    /** Refuses as not run where that holds, with a retry delay. */
-    private void giveUp(String reason, long retryAfterMillis) {
+    /**
+     * Rejects the request as not run if that is certain; otherwise fails it or resumes it later.
+     */
+    private void abandon(String reason, long retryAfterMillis) {
         if (relay.hasBegun()) {
             if (!scheduleResume()) {
                 caller.abort();
@@ -431,18 +439,18 @@
         rejectNotRun(reason, retryAfterMillis);
     }
 
-    /** Refuses what has run nowhere, and gives its tokens back. */
+    /** Rejects a request that has not run at any endpoint, and refunds its tokens. */
     private void rejectNotRun(String reason, long retryAfterMillis) {
         admitted.team().ifPresent(team -> state.rates().refund(team, admitted.tokens()));
         metrics.refused(UNAVAILABLE);
         finish(String.valueOf(UNAVAILABLE), reason);
-        caller.refuse(Rejection.retryLater(UNAVAILABLE, reason, "retry later", retryAfterMillis));
+        caller.reject(Rejection.retryLater(UNAVAILABLE, reason, "retry later", retryAfterMillis));
     }
 
     private void fail(int status, String reason) {
         metrics.failed(status);
         finish(String.valueOf(status), reason);
-        caller.refuse(Rejection.of(status, reason, "the request may have run"));
+        caller.reject(Rejection.of(status, reason, "the request may have run"));
     }
 
     @Override
@@ -454,7 +462,7 @@
 
     @Override
     public void onWritable(boolean writable) {
-        call.ifPresent(underWay -> underWay.setReading(writable));
+        call.ifPresent(current -> current.setReading(writable));
     }
 
     private void cancelCall() {
@@ -462,6 +470,7 @@
         call = Optional.empty();
     }
 
+    /** Ends the current attempt and returns the endpoint that it was sent to. */
     private EndpointState endAttempt() {
         EndpointState left = endpoint.orElseThrow();
         endpoint = Optional.empty();
@@ -486,6 +495,6 @@
                 reason,
                 selection.tried(),
                 prefill.runner().or(selection::runner),
-                firstNanos);
+                firstDataNanos);
     }
 }
--- a/router/src/main/java/org/bronzelug/router/exchange/ExchangeLog.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/ExchangeLog.java
@@ -10,7 +10,7 @@
 import org.bronzelug.router.traffic.EndpointState;
 import org.bronzelug.router.traffic.RunnerChoice;
 
-/** The log lines of one admitted request. Confined to the traffic thread. */
+/** Writes the log lines of one admitted request. Confined to the traffic thread. */
 final class ExchangeLog {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -21,10 +21,10 @@
     }
 
     /**
-     * The request goes to an endpoint.
+     * Logs that the request is sent to an endpoint.
      *
-     * @param runner present where tokens are generated
-     * @param limited endpoints that would have been chosen but for their limits
+     * @param runner the choice of the runner; empty for requests without a prompt
+     * @param limited endpoints that were skipped because of their limits
      */
     void sent(EndpointState endpoint, Optional<RunnerChoice> runner, Set<EndpointState> limited) {
         long nowNanos = System.nanoTime();
@@ -50,7 +50,11 @@
         return endpoints.stream().map(endpoint -> endpoint.entry().id()).toList();
     }
 
-    /** The request leaves an endpoint. */
+    /**
+     * Logs that the request leaves an endpoint.
+     *
+     * @param sends how often the request was sent so far
+     */
     void moved(EndpointState endpoint, int sends, String cause) {
         EventLog.info(
                 LogEvent.REQUEST_MOVED,
@@ -60,22 +64,23 @@
                         + (" sends=" + sends));
     }
 
-    /** A stream goes on after its last whole event. */
+    /** Logs that a stream is to be resumed after its last whole event. */
     void streamMoved(String cause) {
         EventLog.info(LogEvent.STREAM_MOVED, request() + " cause=\"" + cause + "\"");
     }
 
     /**
-     * The request is over.
+     * Logs the end of the request.
      *
-     * @param firstNanos when the answer began, by the local monotonic clock; 0: it never did
+     * @param firstDataNanos when the first bytes of a response body arrived, by the local monotonic
+     *     clock; 0 if none did
      */
     void ended(
             String outcome,
             String reason,
             Set<String> tried,
             Optional<RunnerChoice> runner,
-            long firstNanos) {
+            long firstDataNanos) {
         EventLog.info(
                 LogEvent.REQUEST_ENDED,
                 request()
@@ -87,7 +92,7 @@
                         + (" tried=" + tried)
                         + (" configuration=" + admitted.configurationVersion())
                         + (" weights=" + runner.map(RunnerChoice::weightsVersion).orElse(0L))
-                        + (" firstMillis=" + (firstNanos == 0 ? -1 : millisTo(firstNanos)))
+                        + (" firstMillis=" + (firstDataNanos == 0 ? -1 : millisTo(firstDataNanos)))
                         + (" millis=" + millisTo(System.nanoTime())));
     }
 
--- a/router/src/main/java/org/bronzelug/router/exchange/Forwarder.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Forwarder.java
@@ -18,8 +18,16 @@
 import org.bronzelug.router.traffic.TrafficState;
 
 /**
- * Admits requests: whose they are, where they go, whether their team is within its rate. Confined
- * to the traffic thread.
+ * Admits the requests of callers, and starts an {@link Exchange} for each admitted one.
+ *
+ * <p>Admission decodes the request, finds its route, authenticates its team by the key, and takes
+ * the request's tokens out of the team's rate. A request that fails one of these steps is rejected
+ * immediately and reaches no endpoint. A request that needs no key, because its route is anonymous
+ * or the configuration has no keys, is charged to no team.
+ *
+ * <p>Invariant: each request that is passed to {@link #handle} is either rejected or owned by one
+ * exchange. Tokens are taken only for requests that get an exchange, which refunds them if the
+ * request is then rejected as not run. Confined to the traffic thread.
  */
 public final class Forwarder implements RequestHandler {
     private static final int BAD_REQUEST = 400;
@@ -29,19 +37,22 @@
     private static final int UNAVAILABLE = 503;
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** A VM without a configuration has one within some 100 ms, unless the platform is down. */
+    /**
+     * Retry delay while this VM has no configuration; it gets one within about 100 ms after its
+     * start, unless the platform is down.
+     */
     private static final long NO_CONFIGURATION_RETRY_MILLIS = 300;
 
-    private static final CallerListener NOTHING =
+    private static final CallerListener NO_OP_LISTENER =
             new CallerListener() {
                 @Override
                 public void onCallerClosed() {
-                    // The answer was complete: nothing is under way.
+                    // The response is complete: no request is in flight.
                 }
 
                 @Override
                 public void onWritable(boolean writable) {
-                    // The answer was written whole.
+                    // The response was written whole.
                 }
             };
 
@@ -71,7 +82,7 @@
         return stopping;
     }
 
-    /** From now on connections end after their next answer. */
+    /** Makes all connections close after their next response. */
     public void beginStop() {
         stopping = true;
     }
@@ -85,12 +96,12 @@
         } catch (MalformedRequestException malformed) {
             Rejection rejection =
                     Rejection.of(BAD_REQUEST, malformed.getMessage(), "correct the request");
-            return refuse("-", request, caller, rejection.closing());
+            return reject("-", request, caller, rejection.closing());
         }
         metrics.arrived();
-        Optional<RoutingConfiguration> known = state.configuration();
-        if (known.isEmpty()) {
-            return refuse(
+        Optional<RoutingConfiguration> configuration = state.configuration();
+        if (configuration.isEmpty()) {
+            return reject(
                     head.id(),
                     request,
                     caller,
@@ -100,7 +111,7 @@
                             "retry later",
                             NO_CONFIGURATION_RETRY_MILLIS));
         }
-        return admit(head, request, caller, known.get(), arrivedNanos);
+        return admit(head, request, caller, configuration.get(), arrivedNanos);
     }
 
     private CallerListener admit(
@@ -111,33 +122,34 @@
             long arrivedNanos) {
         Optional<Route> route = configuration.route(head.host(), head.path());
         if (route.isEmpty()) {
-            return refuse(
+            return reject(
                     head.id(),
                     request,
                     caller,
                     Rejection.of(NOT_FOUND, "no route", "check host and path"));
         }
         Optional<Team> team = head.key().map(KeyDigest::of).flatMap(configuration::teamOf);
-        boolean keyed = configuration.needsKeys() && !route.get().anonymous();
-        if (keyed && team.isEmpty()) {
-            return refuse(
+        boolean keyRequired = configuration.needsKeys() && !route.get().anonymous();
+        if (keyRequired && team.isEmpty()) {
+            return reject(
                     head.id(),
                     request,
                     caller,
                     Rejection.of(UNAUTHORIZED, "unknown key", "present a key of a team"));
         }
-        Optional<Team> charged = keyed ? team : Optional.empty();
-        long tokens = charged.map(present -> tokens(head, present)).orElse(0L);
-        if (charged.isPresent() && !state.rates().tryAcquire(charged.get(), tokens, arrivedNanos)) {
+        Optional<Team> chargedTeam = keyRequired ? team : Optional.empty();
+        long tokens = chargedTeam.map(present -> tokens(head, present)).orElse(0L);
+        if (chargedTeam.isPresent()
+                && !state.rates().tryAcquire(chargedTeam.get(), tokens, arrivedNanos)) {
             metrics.refusedOverRate();
-            return refuse(
-                    head.id(), request, caller, overRate(charged.get(), tokens, arrivedNanos));
+            return reject(
+                    head.id(), request, caller, overRate(chargedTeam.get(), tokens, arrivedNanos));
         }
         AdmittedRequest admitted =
                 new AdmittedRequest(
                         head,
                         route.get(),
-                        charged,
+                        chargedTeam,
                         tokens,
                         state.configuration().flatMap(present -> poolOf(present, route.get())),
                         configuration.version(),
@@ -164,7 +176,7 @@
                 millis);
     }
 
-    private CallerListener refuse(
+    private CallerListener reject(
             String id, FullHttpRequest request, CallerConnection caller, Rejection rejection) {
         request.release();
         metrics.refused(rejection.status());
@@ -178,7 +190,7 @@
                         + rejection.reason()
                         + "\" configuration="
                         + state.configuration().map(RoutingConfiguration::version).orElse(0L));
-        caller.refuse(rejection);
-        return NOTHING;
+        caller.reject(rejection);
+        return NO_OP_LISTENER;
     }
 }
--- a/router/src/main/java/org/bronzelug/router/exchange/MalformedRequestException.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/MalformedRequestException.java
@@ -1,6 +1,9 @@
 package org.bronzelug.router.exchange;
 
-/** A caller's request can't be read; the message says what was met and expected. */
+/**
+ * Thrown if a caller's request cannot be decoded. The message states what was found and what was
+ * expected, and is sent to the caller.
+ */
 public final class MalformedRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/router/src/main/java/org/bronzelug/router/exchange/PrefillProgress.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/PrefillProgress.java
@@ -7,12 +7,12 @@
 import org.bronzelug.router.traffic.TrafficState;
 
 /**
- * The prefill of one request's prompt at the runner that it is sent to: what the runner's load
- * counts, and what is learnt when the first token comes.
+ * Tracks the prefill of one request's prompt at its current runner: adds the prompt to the runner's
+ * load, and updates the prefill rate and the cache estimate when the first token arrives.
  *
- * <p>Invariant: tokens that were counted as queued at a runner are taken off once, at the first
- * token or when the request leaves. Without a prompt nothing is counted. Confined to the traffic
- * thread.
+ * <p>Invariant: tokens that were added to a runner's queued load are removed once, at the first
+ * token or when the request leaves the runner. A request without a prompt adds no load. Confined to
+ * the traffic thread.
  */
 final class PrefillProgress {
     private final TrafficState state;
@@ -26,7 +26,11 @@
         this.admitted = admitted;
     }
 
-    /** The request is sent to a runner, or to an endpoint without a prompt. */
+    /**
+     * Records that the request is sent.
+     *
+     * @param choice the choice of the runner; empty for requests without a prompt
+     */
     void begin(Optional<RunnerChoice> choice, long nowNanos) {
         runner = choice;
         sentNanos = nowNanos;
@@ -34,26 +38,28 @@
         choice.ifPresent(chosen -> chosen.endpoint().load().begin(chosen.missingTokens()));
     }
 
-    /** The runner that the request was sent to last, where its prompt is prefilled. */
+    /** Returns the runner that the prompt was sent to last; empty for requests without a prompt. */
     Optional<RunnerChoice> runner() {
         return runner;
     }
 
-    /** The head of an answer shows which weights the runner has. */
-    void answered(EndpointState answering, EndpointResponse answer) {
+    /** Records the version of the runner's weights that the head of its response reports. */
+    void recordHead(EndpointState responding, EndpointResponse head) {
         if (runner.isPresent()) {
             String model = model();
-            answer.weightsVersion().ifPresent(version -> answering.recordWeights(model, version));
+            head.weightsVersion().ifPresent(version -> responding.recordWeights(model, version));
         }
     }
 
     /**
-     * Bytes of the answer have come: at the first ones the prompt has been prefilled.
+     * Records that bytes of the response body have arrived; the first ones show that the prompt has
+     * been prefilled.
      *
-     * @param wholePrompt whether the time to the first token tells how fast the runner reads
-     * @param saving whether the runner was told to save what it reads
+     * @param wholePrompt whether the runner prefilled the whole prompt, so that the time to the
+     *     first token is a sample of its prefill rate
+     * @param saving whether the request told the runner to save the prompt's prefix
      */
-    void received(boolean wholePrompt, boolean saving, long nowNanos) {
+    void recordData(boolean wholePrompt, boolean saving, long nowNanos) {
         if (!queued) {
             return;
         }
@@ -66,7 +72,7 @@
         state.choice().recordRead(choice, model(), saving, nowNanos);
     }
 
-    /** The request leaves the runner. */
+    /** Records that the request leaves the runner. */
     void end() {
         runner.ifPresent(
                 choice -> {
--- a/router/src/main/java/org/bronzelug/router/exchange/PromptSpec.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/PromptSpec.java
@@ -4,19 +4,20 @@
 import org.bronzelug.core.placement.PromptPart;
 
 /**
- * What is to be generated. Immutable.
+ * The prompt of a request for generated tokens. Immutable.
  *
- * @param model that generates
- * @param inputTokens of the prompt
- * @param outputTokens at most
- * @param parts of the prompt in order; the last one is the request's own or its session's
+ * @param model name of the model
+ * @param inputTokens number of tokens of the prompt
+ * @param outputTokens maximum number of tokens to generate
+ * @param parts the parts of the prompt in order; the last part belongs to the request alone or to
+ *     its session
  */
 public record PromptSpec(String model, int inputTokens, int outputTokens, List<PromptPart> parts) {
     public PromptSpec {
         parts = List.copyOf(parts);
     }
 
-    /** What counts against the team's rate. */
+    /** Returns the number of tokens that are charged to the team's rate. */
     public int totalTokens() {
         return inputTokens + outputTokens;
     }
--- a/router/src/main/java/org/bronzelug/router/exchange/Rejection.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Rejection.java
@@ -3,14 +3,14 @@
 import java.util.OptionalLong;
 
 /**
- * An answer of the router's own. The statuses 408, 421, 429 and 503 promise that the request has
- * not run and will not; all others promise nothing. Immutable.
+ * An error response that the router itself sends to a caller. The statuses 408, 421, 429 and 503
+ * guarantee that the request has not run and will not run; all others guarantee nothing. Immutable.
  *
- * @param status of HTTP
- * @param reason for logs and metrics
+ * @param status the HTTP status code
+ * @param reason the reason, for the response's body and the logs
  * @param remedy what the caller can do
- * @param retryAfterMillis when to retry
- * @param close whether the connection's state is uncertain, so that it ends after the answer
+ * @param retryAfterMillis the delay after which the caller should retry
+ * @param close whether the connection is closed after the response, since its state is uncertain
  */
 public record Rejection(
         int status, String reason, String remedy, OptionalLong retryAfterMillis, boolean close) {
@@ -23,7 +23,7 @@
         return new Rejection(status, reason, remedy, OptionalLong.of(retryAfterMillis), false);
     }
 
-    /** The same answer, after which the connection ends. */
+    /** Returns the same response with the connection closed after it. */
     public Rejection closing() {
         return new Rejection(status, reason, remedy, retryAfterMillis, true);
     }
--- a/router/src/main/java/org/bronzelug/router/exchange/RequestHead.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/RequestHead.java
@@ -4,15 +4,15 @@
 import java.util.OptionalLong;
 
 /**
- * What the engine needs to know of a request. Immutable.
+ * The decoded head of a caller's request, independent of the platform's header names. Immutable.
  *
- * @param id of this attempt of the caller
- * @param host lower case, without a port
- * @param path without the query
+ * @param id the id that the caller gave to this attempt of its request
+ * @param host the host in lower case, without a port
+ * @param path the path without the query
  * @param deadlineMillis how long the caller waits, from the request's arrival
- * @param key as the caller presents it; never logged
- * @param prompt present where tokens are to be generated
- * @param lastEventId the event after which the caller wants a stream to go on
+ * @param key the key as the caller presents it; never logged
+ * @param prompt the prompt; present if tokens are to be generated
+ * @param lastEventId id of the event after which the caller wants a stream to resume
  */
 public record RequestHead(
         String id,
--- a/router/src/main/java/org/bronzelug/router/exchange/ResponseRelay.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/ResponseRelay.java
@@ -14,24 +14,25 @@
 import org.bronzelug.router.stream.EventSplitter;
 
 /**
- * Passes an endpoint's answer on to the caller.
+ * Forwards an endpoint's response to the caller.
  *
- * <p>A stream passes as it arrives; if it may be resumed, by whole events. Any other answer is held
- * until it is whole, so that a torn one can be replaced by another endpoint's, up to a size beyond
- * which it passes as it arrives too. Confined to the traffic thread.
+ * <p>A stream is forwarded as it arrives; a resumable one is forwarded in whole events. Any other
+ * response is buffered until it is complete, so that an incomplete one can be replaced by the
+ * response of another endpoint. If it exceeds the buffer's maximum size, it is forwarded as it
+ * arrives as well. Confined to the traffic thread.
  */
 final class ResponseRelay {
-    /** Answers of plain services are about a kilobyte; more is not held in memory. */
+    /** Responses without a stream are typically about a kilobyte; larger ones are not buffered. */
     private static final int MAXIMUM_BUFFERED_BYTES = 65_536;
 
     private final CallerConnection caller;
     private final WireFormat wire;
     private final Route route;
     private final EventSplitter events = new EventSplitter();
-    private ByteBuf held = Unpooled.EMPTY_BUFFER;
+    private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
     private Optional<HttpHeaders> headers = Optional.empty();
     private int status;
-    private boolean splitting;
+    private boolean splitsEvents;
     private boolean begun;
 
     ResponseRelay(CallerConnection caller, WireFormat wire, Route route) {
@@ -40,7 +41,7 @@
         this.route = route;
     }
 
-    /** Whether the caller has got a part of the answer. */
+    /** Returns whether the head of a response was forwarded to the caller. */
     boolean hasBegun() {
         return begun;
     }
@@ -49,28 +50,28 @@
         return status;
     }
 
-    /** The id of the last event that the caller has got. */
+    /** Returns the id of the last event that was forwarded to the caller. */
     OptionalLong lastEventId() {
         return events.lastId();
     }
 
-    /** Takes the head of an answer; of a resumed stream, the first runner's stays. */
-    void begin(EndpointResponse answer, HttpResponse response) {
+    /** Starts a response with its head; the head of a resumed stream is ignored. */
+    void begin(EndpointResponse head, HttpResponse response) {
         if (begun) {
             return;
         }
-        status = answer.status();
+        status = head.status();
         headers = Optional.of(wire.callerHeaders(response));
-        boolean streaming = route.stream() && answer.isSuccess();
-        splitting = streaming && route.repeat() == RetryPolicy.RESUMABLE;
+        boolean streaming = route.stream() && head.isSuccess();
+        splitsEvents = streaming && route.repeat() == RetryPolicy.RESUMABLE;
         if (streaming) {
             OptionalLong length =
-                    HttpUtil.isContentLengthSet(response) && !splitting
+                    HttpUtil.isContentLengthSet(response) && !splitsEvents
                             ? OptionalLong.of(HttpUtil.getContentLength(response))
                             : OptionalLong.empty();
             sendHead(length);
         } else {
-            held = Unpooled.buffer();
+            buffered = Unpooled.buffer();
         }
     }
 
@@ -80,12 +81,12 @@
     }
 
     /**
-     * Takes a part of the body.
+     * Forwards or buffers a chunk of the body, and takes ownership of it.
      *
-     * @return false where an event is missing, so that the stream must not go on
+     * @return false if an event is missing, so the stream must be broken off
      */
-    boolean data(ByteBuf data) {
-        if (splitting) {
+    boolean forward(ByteBuf data) {
+        if (splitsEvents) {
             events.add(data);
             return forwardEvents();
         }
@@ -93,11 +94,11 @@
             caller.writeData(data);
             return true;
         }
-        held.writeBytes(data);
+        buffered.writeBytes(data);
         data.release();
-        if (held.readableBytes() > MAXIMUM_BUFFERED_BYTES) {
-            ByteBuf first = held;
-            held = Unpooled.EMPTY_BUFFER;
+        if (buffered.readableBytes() > MAXIMUM_BUFFERED_BYTES) {
+            ByteBuf first = buffered;
+            buffered = Unpooled.EMPTY_BUFFER;
             sendHead(OptionalLong.empty());
             caller.writeData(first);
         }
@@ -118,38 +119,42 @@
     }
 
     /**
-     * The endpoint's answer is whole.
+     * Completes the response after its last chunk.
      *
-     * @return false where it ended within an event
+     * @return false if the stream ended within an event
      */
     boolean complete() {
-        if (splitting && events.holdsPart()) {
+        if (splitsEvents && events.holdsPart()) {
             return false;
         }
         if (begun) {
             caller.writeEnd();
             return true;
         }
-        ByteBuf whole = held;
-        held = Unpooled.EMPTY_BUFFER;
+        ByteBuf whole = buffered;
+        buffered = Unpooled.EMPTY_BUFFER;
         begun = true;
-        caller.answer(status, headers.orElseThrow(), whole);
+        caller.writeResponse(status, headers.orElseThrow(), whole);
         return true;
     }
 
-    /** Forgets an answer of which the caller has got nothing. */
+    /** Discards a response of which nothing was forwarded to the caller. */
     void reset() {
-        held.release();
-        held = Unpooled.EMPTY_BUFFER;
+        buffered.release();
+        buffered = Unpooled.EMPTY_BUFFER;
         headers = Optional.empty();
     }
 
-    /** Whether the stream can go on elsewhere after its last whole event. */
+    /** Returns whether the stream can be resumed at another endpoint after its last whole event. */
     boolean canResume() {
-        return splitting && events.lastId().isPresent();
+        return splitsEvents && events.lastId().isPresent();
     }
 
-    /** Drops half an event, if the stream can go on elsewhere. */
+    /**
+     * Drops an incomplete event if the stream can be resumed.
+     *
+     * @return whether the stream can be resumed
+     */
     boolean prepareResume() {
         if (canResume()) {
             events.dropPart();
@@ -158,8 +163,8 @@
     }
 
     void release() {
-        held.release();
-        held = Unpooled.EMPTY_BUFFER;
+        buffered.release();
+        buffered = Unpooled.EMPTY_BUFFER;
         events.release();
     }
 }
--- a/router/src/main/java/org/bronzelug/router/exchange/SilenceWatch.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/SilenceWatch.java
@@ -6,13 +6,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Checks at intervals whether a request's endpoint still lives: what may be repeated goes
- * elsewhere, instead of waiting for a machine without power until the caller has left.
+ * Runs a periodic check of whether a request's endpoint has stalled.
+ *
+ * <p>Without it, a request that may be retried would wait for an endpoint without power until its
+ * caller has closed the connection.
  *
  * <p>Invariant: no check runs after {@link #stop}. Confined to the traffic thread.
  */
 final class SilenceWatch {
-    /** Often enough for a goal of 600 ms to be missed by little. */
+    /** Short enough that a goal of 600 ms is exceeded only slightly. */
     private static final long CHECK_MILLIS = 200;
 
     private final EventLoop traffic;
--- a/router/src/main/java/org/bronzelug/router/exchange/WireFormat.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/WireFormat.java
@@ -6,25 +6,26 @@
 import org.bronzelug.router.endpoint.EndpointResponse;
 
 /**
- * How requests and answers are spelled on the wire: the only place of the engine that depends on a
- * platform's header names. Implementations are stateless and thread-safe.
+ * Converts between HTTP headers and the router's own types. Only implementations of this interface
+ * depend on the platform's header names. Implementations are stateless and thread-safe.
  */
 public interface WireFormat {
-    /** Reads what the engine needs of a caller's request. */
+    /** Decodes the head of a caller's request. */
     RequestHead decodeRequest(HttpRequest request) throws MalformedRequestException;
 
     /**
-     * The headers for an endpoint: the caller's, without those that concern only its connection or
-     * that only the router may set, and the router's own but for the deadline.
+     * Returns the headers of the request for an endpoint: the caller's headers without hop-by-hop
+     * headers and without those that only the router may set, and the router's own headers except
+     * the deadline.
      */
     HttpHeaders endpointHeaders(HttpRequest request, Dispatch dispatch);
 
-    /** Sets the milliseconds left in the headers for an endpoint. */
+    /** Sets the deadline header of the request for an endpoint: the milliseconds that are left. */
     void setDeadline(HttpHeaders headers, long millis);
 
-    /** Reads what the engine needs of an endpoint's answer. */
+    /** Decodes the head of an endpoint's response. */
     EndpointResponse decodeResponse(HttpResponse response);
 
-    /** The headers of an endpoint's answer that a caller gets. */
+    /** Returns the headers of an endpoint's response that are forwarded to the caller. */
     HttpHeaders callerHeaders(HttpResponse response);
 }
--- a/router/src/main/java/org/bronzelug/router/exchange/package-info.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/package-info.java
@@ -1,2 +1,2 @@
-/** One request from its arrival to its last byte: admission, dispatch, repeats, answer. */
+/** Handles a request from its arrival to its last byte: admission, dispatch, retries, response. */
 package org.bronzelug.router.exchange;
--- a/router/src/main/java/org/bronzelug/router/ingress/CallerConnection.java
+++ b/router/src/main/java/org/bronzelug/router/ingress/CallerConnection.java
@@ -34,12 +34,20 @@
 import org.bronzelug.router.exchange.Rejection;
 
 /**
- * One connection of a caller: its requests are answered one after the other.
+ * One connection of a caller, which serves its requests one after the other.
  *
- * <p>It always reads, also while a request is served: that is how a caller's leaving is noticed at
- * once, so that the endpoint stops work that nobody waits for. Invariant: an answer that broke off
- * never looks whole, as the connection is closed before its end is marked. Confined to the traffic
- * thread.
+ * <p>A request is passed to the {@link RequestHandler} once its head and body have arrived
+ * completely and the response to the previous request is complete. Requests that arrive earlier
+ * (HTTP pipelining) are queued. The handler writes one response per request, either at once ({@link
+ * #writeResponse}, {@link #reject}) or in chunks ({@link #writeHead}, {@link #writeData}, {@link
+ * #writeEnd}).
+ *
+ * <p>The connection reads all the time, also while a request is served. It therefore notices
+ * immediately that a caller closes the connection, and the endpoint stops working on a response
+ * that nobody waits for.
+ *
+ * <p>Invariant: an incomplete response never looks complete, since {@link #abort} closes the
+ * connection before the end of the response is written. Confined to the traffic thread.
  */
 public final class CallerConnection extends ChannelInboundHandlerAdapter {
     private static final int BAD_REQUEST = 400;
@@ -48,20 +56,20 @@
     private static final int HEADER_TOO_LARGE = 431;
     private static final int MILLIS_PER_SECOND = 1_000;
 
-    /** Requests sent ahead of their turn that are kept; more is no usual client. */
+    /** Maximum number of queued requests of one connection; regular clients do not send more. */
     private static final int MAXIMUM_PIPELINED = 16;
 
     private final RequestHandler handler;
     private final Channel channel;
-    private final Deque<FullHttpRequest> ahead = new ArrayDeque<>();
-    private Optional<CallerListener> current = Optional.empty();
-    private Optional<HttpRequest> reading = Optional.empty();
-    private CompositeByteBuf body = Unpooled.compositeBuffer();
+    private final Deque<FullHttpRequest> pipelined = new ArrayDeque<>();
+    private Optional<CallerListener> currentListener = Optional.empty();
+    private Optional<HttpRequest> incomingHead = Optional.empty();
+    private CompositeByteBuf incomingBody = Unpooled.compositeBuffer();
     private Optional<ScheduledFuture<?>> timer = Optional.empty();
     private boolean busy;
     private boolean keepAlive = true;
-    private boolean closing;
-    private boolean ended;
+    private boolean closeAfterResponse;
+    private boolean closed;
     private boolean chunkedResponse;
 
     CallerConnection(RequestHandler handler, Channel channel) {
@@ -74,15 +82,15 @@
         return busy;
     }
 
-    /** Ends the connection, at once where nothing is under way, else after the answer. */
-    public void endWhenIdle() {
-        closing = true;
-        if (!busy && reading.isEmpty()) {
+    /** Closes the connection: immediately if it is idle, otherwise after the response. */
+    public void closeWhenIdle() {
+        closeAfterResponse = true;
+        if (!busy && incomingHead.isEmpty()) {
             close();
         }
     }
 
-    /** Begins an answer whose parts follow. */
+    /** Writes the head of a response whose body follows in chunks. */
     public void writeHead(int status, HttpHeaders headers, OptionalLong length) {
         DefaultHttpResponse response =
                 new DefaultHttpResponse(
@@ -97,19 +105,19 @@
         channel.writeAndFlush(response);
     }
 
-    /** Passes a part of the answer's body on, and takes it over. */
+    /** Writes a chunk of the response's body, and takes ownership of it. */
     public void writeData(ByteBuf data) {
         channel.writeAndFlush(new DefaultHttpContent(data));
     }
 
-    /** Marks the end of the answer. */
+    /** Writes the end of the response. */
     public void writeEnd() {
         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-        finished();
+        onResponseComplete();
     }
 
-    /** Answers whole, and takes the body over. */
-    public void answer(int status, HttpHeaders headers, ByteBuf content) {
+    /** Writes a complete response, and takes ownership of the body. */
+    public void writeResponse(int status, HttpHeaders headers, ByteBuf content) {
         headers.set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
         headers.remove(HttpHeaderNames.TRANSFER_ENCODING);
         setConnectionHeader(headers);
@@ -120,12 +128,12 @@
                         content,
                         headers,
                         DefaultHttpHeadersFactory.trailersFactory().newHeaders()));
-        finished();
+        onResponseComplete();
     }
 
-    /** Answers with a refusal of the router's own. */
-    public void refuse(Rejection rejection) {
-        closing |= rejection.close();
+    /** Writes a rejection by the router as a complete response. */
+    public void reject(Rejection rejection) {
+        closeAfterResponse |= rejection.close();
         String text =
                 "{\"error\":\""
                         + rejection.reason()
@@ -137,15 +145,15 @@
         rejection
                 .retryAfterMillis()
                 .ifPresent(millis -> headers.set(HttpHeaderNames.RETRY_AFTER, seconds(millis)));
-        answer(
+        writeResponse(
                 rejection.status(),
                 headers,
                 Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Ends the connection in the middle of an answer, which is thereby seen to be broken. */
+    /** Closes the connection within a response, so that the caller sees an incomplete response. */
     public void abort() {
-        current = Optional.empty();
+        currentListener = Optional.empty();
         close();
     }
 
@@ -166,10 +174,10 @@
 
     private void beginRequest(HttpRequest request) {
         if (isAmbiguous(request)) {
-            rejectUnread(new IllegalArgumentException("two ways to tell the body's length"));
+            rejectUnread(new IllegalArgumentException("ambiguous body length or host"));
             return;
         }
-        reading = Optional.of(request);
+        incomingHead = Optional.of(request);
         startTimer(handler.limits().headerTimeoutMillis(), this::rejectSlowRequest);
         if (HttpUtil.is100ContinueExpected(request)) {
             channel.writeAndFlush(
@@ -181,21 +189,22 @@
     }
 
     /**
-     * A length given in two ways: another program on the way may read another request out of it, so
-     * that one caller's body becomes a request of its own.
+     * Returns whether the headers are ambiguous about the body's length or the host. Another proxy
+     * on the path may interpret such a request differently, so that a part of one caller's body
+     * becomes a separate request (request smuggling).
      */
     private static boolean isAmbiguous(HttpRequest request) {
         HttpHeaders headers = request.headers();
         boolean chunked = headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
         boolean unsupportedCoding = chunked && !HttpUtil.isTransferEncodingChunked(request);
-        boolean both = chunked && headers.contains(HttpHeaderNames.CONTENT_LENGTH);
+        boolean bothLengths = chunked && headers.contains(HttpHeaderNames.CONTENT_LENGTH);
         boolean multipleLengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH).size() > 1;
-        boolean hosts = headers.getAll(HttpHeaderNames.HOST).size() != 1;
-        return unsupportedCoding || both || multipleLengths || hosts;
+        boolean notOneHost = headers.getAll(HttpHeaderNames.HOST).size() != 1;
+        return unsupportedCoding || bothLengths || multipleLengths || notOneHost;
     }
 
     private void readBody(HttpContent content) {
-        if (reading.isEmpty()) {
+        if (incomingHead.isEmpty()) {
             content.release();
             return;
         }
@@ -204,17 +213,17 @@
             rejectUnread(content.decoderResult().cause());
             return;
         }
-        if (body.readableBytes() + content.content().readableBytes()
+        if (incomingBody.readableBytes() + content.content().readableBytes()
                 > handler.limits().maximumBodyBytes()) {
             content.release();
-            reading = Optional.empty();
+            incomingHead = Optional.empty();
             rejectUnlessBusy(
                     Rejection.of(TOO_LARGE, "body too large", "send a smaller body").closing());
             return;
         }
-        body.addComponent(true, content.content());
+        incomingBody.addComponent(true, content.content());
         if (content instanceof LastHttpContent) {
-            onRequestComplete(reading.get());
+            onRequestComplete(incomingHead.get());
         }
     }
 
@@ -224,19 +233,19 @@
                         head.protocolVersion(),
                         head.method(),
                         head.uri(),
-                        body,
+                        incomingBody,
                         head.headers(),
                         DefaultHttpHeadersFactory.trailersFactory().newHeaders());
-        body = Unpooled.compositeBuffer();
-        reading = Optional.empty();
+        incomingBody = Unpooled.compositeBuffer();
+        incomingHead = Optional.empty();
         stopTimer();
-        if (ended) {
-            // It crossed the close: nothing of it is passed on.
+        if (closed) {
+            // The request arrived after the connection was closed, so it is discarded.
             whole.release();
         } else if (!busy) {
             startAfterRead(whole);
-        } else if (ahead.size() < MAXIMUM_PIPELINED) {
-            ahead.add(whole);
+        } else if (pipelined.size() < MAXIMUM_PIPELINED) {
+            pipelined.add(whole);
         } else {
             whole.release();
             close();
@@ -244,8 +253,9 @@
     }
 
     /**
-     * Starts a request once all that has arrived on the connection is read. The failure this
-     * prevents: a VM that was stalled forwards requests whose callers have long closed.
+     * Starts a request after everything that has arrived on the connection has been read. Without
+     * this, a VM that was stalled would forward requests whose callers closed their connections
+     * long ago.
      */
     private void startAfterRead(FullHttpRequest request) {
         busy = true;
@@ -265,27 +275,27 @@
         keepAlive = HttpUtil.isKeepAlive(request);
         CallerListener listener = handler.handle(request, this, System.nanoTime());
         if (busy) {
-            current = Optional.of(listener);
+            currentListener = Optional.of(listener);
         }
     }
 
-    private void finished() {
+    private void onResponseComplete() {
         busy = false;
-        current = Optional.empty();
-        if (!keepAlive || closing) {
+        currentListener = Optional.empty();
+        if (!keepAlive || closeAfterResponse) {
             closeAfterFlush();
             return;
         }
         startTimer(handler.limits().idleTimeoutMillis(), this::close);
-        FullHttpRequest next = ahead.poll();
+        FullHttpRequest next = pipelined.poll();
         if (next != null) {
             start(next);
         }
     }
 
     private void setConnectionHeader(HttpHeaders headers) {
-        closing |= handler.isStopping();
-        if (closing || !keepAlive) {
+        closeAfterResponse |= handler.isStopping();
+        if (closeAfterResponse || !keepAlive) {
             headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         } else {
             headers.remove(HttpHeaderNames.CONNECTION);
@@ -294,7 +304,7 @@
 
     private void rejectUnread(Throwable cause) {
         boolean tooLong = cause instanceof TooLongFrameException;
-        reading = Optional.empty();
+        incomingHead = Optional.empty();
         Rejection rejection =
                 tooLong
                         ? Rejection.of(HEADER_TOO_LARGE, "head too large", "send fewer headers")
@@ -303,28 +313,31 @@
     }
 
     private void rejectSlowRequest() {
-        reading = Optional.empty();
+        incomingHead = Optional.empty();
         rejectUnlessBusy(
                 Rejection.of(REQUEST_TIMEOUT, "request too slow", "send it faster").closing());
     }
 
-    /** Refuses what is being read; an answer under way is not mixed with it. */
+    /**
+     * Rejects the incoming request. If a response is in progress, the connection is closed after it
+     * instead.
+     */
     private void rejectUnlessBusy(Rejection rejection) {
         if (busy) {
-            endWhenIdle();
+            closeWhenIdle();
             return;
         }
-        refuse(rejection);
+        reject(rejection);
     }
 
     private void closeAfterFlush() {
-        ended = true;
+        closed = true;
         stopTimer();
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
     }
 
     private void close() {
-        ended = true;
+        closed = true;
         stopTimer();
         channel.close();
     }
@@ -345,17 +358,17 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        current.ifPresent(listener -> listener.onWritable(channel.isWritable()));
+        currentListener.ifPresent(listener -> listener.onWritable(channel.isWritable()));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         stopTimer();
-        body.release();
-        ahead.forEach(ReferenceCountUtil::release);
-        ahead.clear();
-        Optional<CallerListener> listener = current;
-        current = Optional.empty();
+        incomingBody.release();
+        pipelined.forEach(ReferenceCountUtil::release);
+        pipelined.clear();
+        Optional<CallerListener> listener = currentListener;
+        currentListener = Optional.empty();
         busy = false;
         listener.ifPresent(CallerListener::onCallerClosed);
     }
--- a/router/src/main/java/org/bronzelug/router/ingress/CallerListener.java
+++ b/router/src/main/java/org/bronzelug/router/ingress/CallerListener.java
@@ -1,10 +1,14 @@
 package org.bronzelug.router.ingress;
 
-/** Hears of the caller of one request, on the traffic thread. */
+/** Receives the events of the caller's connection during one request, on the traffic thread. */
 public interface CallerListener {
-    /** The caller has closed its connection before the answer was whole. */
+    /** Called when the caller closes its connection before the response is complete. */
     void onCallerClosed();
 
-    /** Whether the caller takes more of the answer now. */
+    /**
+     * Called when backpressure from the caller changes.
+     *
+     * @param writable whether more of the response can be written now
+     */
     void onWritable(boolean writable);
 }
--- a/router/src/main/java/org/bronzelug/router/ingress/GracefulStop.java
+++ b/router/src/main/java/org/bronzelug/router/ingress/GracefulStop.java
@@ -10,20 +10,20 @@
 import org.bronzelug.router.settings.FleetBounds;
 
 /**
- * Stops a VM without cutting a request: it is no longer named to callers, goes on serving those
- * that still know its address, then takes no new connections, and ends when the last answer is
- * whole.
+ * Stops a VM without interrupting a request. The VM is no longer announced to callers, but
+ * continues to serve those that still use its address. After 2.5 s it accepts no new connections,
+ * and the stop is complete when the last response is.
  *
- * <p>Runs once, on the thread that calls it.
+ * <p>Runs once, on the thread that calls {@link #run}.
  */
 public final class GracefulStop {
     /**
-     * Callers keep an address for seconds; most have asked anew by then. The rest meet a closed
-     * port and go to another address at once.
+     * Callers cache the VMs' addresses for seconds; most have refreshed them by then. The others
+     * get a refused connection and use another address immediately.
      */
     private static final long KEEP_LISTENING_MILLIS = 2_500;
 
-    /** What is left of the grace for closing down. */
+    /** The end of the grace period that is reserved for shutting down. */
     private static final long SHUTDOWN_MARGIN_MILLIS = 700;
 
     private static final long CHECK_MILLIS = 50;
@@ -49,7 +49,9 @@
         this.control = control;
     }
 
-    /** Returns when all is answered, or the grace is nearly over. */
+    /**
+     * Drains the VM. Returns when all responses are complete, or the grace period is nearly over.
+     */
     public void run() {
         startNanos = System.nanoTime();
         control.beginStop();
@@ -57,11 +59,11 @@
         traffic.schedule(this::closeListener, KEEP_LISTENING_MILLIS, TimeUnit.MILLISECONDS);
         traffic.schedule(this::check, CHECK_MILLIS, TimeUnit.MILLISECONDS);
         try {
-            boolean all =
+            boolean drained =
                     done.await(
                             bounds.graceMillis() - SHUTDOWN_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
-            if (!all) {
-                EventLog.warn(LogEvent.DRAIN_INCOMPLETE, "connections end in an answer");
+            if (!drained) {
+                EventLog.warn(LogEvent.DRAIN_INCOMPLETE, "connections are closed within responses");
             }
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
--- a/router/src/main/java/org/bronzelug/router/ingress/IngressServer.java
+++ b/router/src/main/java/org/bronzelug/router/ingress/IngressServer.java
@@ -18,18 +18,18 @@
 import org.bronzelug.kernel.ServiceException;
 
 /**
- * Accepts callers' connections. Its connections are confined to the traffic thread; start and stop
- * may be called by any thread.
+ * Accepts callers' connections. The connections are confined to the traffic thread; {@link #start}
+ * and {@link #stop} may be called by any thread.
  */
 public final class IngressServer implements Service {
     public static final String NAME = "ingress";
 
-    /** Connections that the kernel keeps until they are accepted: a burst of a whole fleet's. */
+    /** Accept backlog: the callers of a whole fleet may connect at the same time. */
     private static final int BACKLOG = 1_024;
 
     private static final int MAXIMUM_LINE_BYTES = 8_192;
 
-    /** Reads of one connection before the next one has its turn. */
+    /** Maximum number of consecutive reads from one connection before the next one is served. */
     private static final int READS_PER_TURN = 16;
 
     private final EventLoop traffic;
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Reads on until nothing is left. A request whose caller has closed the connection is then seen
-     * together with the close.
+     * Returns an allocator with which a connection is read until no more data is available. If a
+     * caller has already closed its connection, the close is then read together with the request.
      */
     private static AdaptiveRecvByteBufAllocator readUntilEmpty() {
         AdaptiveRecvByteBufAllocator allocator = new AdaptiveRecvByteBufAllocator();
@@ -79,18 +79,20 @@
         return allocator;
     }
 
-    /** Takes no new connections; those that are open go on. Call on the traffic thread. */
+    /** Accepts no new connections; open ones continue. Must be called on the traffic thread. */
     public void closeListener() {
         listener.ifPresent(Channel::close);
         listener = Optional.empty();
     }
 
-    /** Ends each connection as soon as no answer is under way. Call on the traffic thread. */
+    /**
+     * Closes each connection when no response is in progress. Must be called on the traffic thread.
+     */
     public void closeConnectionsWhenIdle() {
-        Set.copyOf(connections).forEach(CallerConnection::endWhenIdle);
+        Set.copyOf(connections).forEach(CallerConnection::closeWhenIdle);
     }
 
-    /** Requests whose answers are under way. Call on the traffic thread. */
+    /** Returns the number of connections with a request. Must be called on the traffic thread. */
     public long busyCount() {
         return connections.stream().filter(CallerConnection::isBusy).count();
     }
@@ -100,7 +102,7 @@
         listener.ifPresent(Channel::close);
     }
 
-    /** Sets a new connection up. */
+    /** Sets up the pipeline of a new connection. */
     private final class ConnectionSetup extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(SocketChannel channel) {
--- a/router/src/main/java/org/bronzelug/router/ingress/RequestHandler.java
+++ b/router/src/main/java/org/bronzelug/router/ingress/RequestHandler.java
@@ -3,18 +3,20 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import org.bronzelug.core.routing.IngressLimits;
 
-/** Takes whole requests off the connections of callers, on the traffic thread. */
+/** Handles the complete requests of callers, on the traffic thread. */
 public interface RequestHandler {
     /**
-     * Takes a request, and releases it in the end.
+     * Handles a request, takes ownership of it, and completes it with one response on the
+     * connection.
      *
-     * @return what hears that the caller has gone
+     * @param arrivedNanos when the whole request had arrived, by the local monotonic clock
+     * @return the listener that is notified if the caller closes the connection
      */
     CallerListener handle(FullHttpRequest request, CallerConnection caller, long arrivedNanos);
 
-    /** What callers may send now. */
+    /** Returns the limits on callers' requests in force. */
     IngressLimits limits();
 
-    /** Whether connections end after their next answer. */
+    /** Returns whether connections are to be closed after their next response. */
     boolean isStopping();
 }
--- a/router/src/main/java/org/bronzelug/router/ingress/package-info.java
+++ b/router/src/main/java/org/bronzelug/router/ingress/package-info.java
@@ -1,2 +1,2 @@
-/** Connections of callers. */
+/** Connections of callers, and the graceful stop that drains them. */
 package org.bronzelug.router.ingress;
