--- a/router/src/main/java/org/bronzelug/router/endpoint/EndpointCall.java
+++ b/router/src/main/java/org/bronzelug/router/endpoint/EndpointCall.java
@@ -4,9 +4,9 @@
 import java.util.Optional;
 
 /**
- * One request at one endpoint, which can be given up at any time.
+ * One attempt to send a request to one endpoint, which can be cancelled at any time.
  *
- * <p>Invariant: after {@link #cancel} the listener hears nothing more. Confined to the traffic
+ * <p>Invariant: after {@link #cancel} the listener is not called any more. Confined to the traffic
  * thread.
  */
 public final class EndpointCall {
@@ -39,13 +39,13 @@
         }
     }
 
-    /** Gives the request up: the endpoint sees the connection close and stops work. */
+    /** Cancels the request by closing its connection, so that the endpoint stops working on it. */
     public void cancel() {
         cancelled = true;
         connection.ifPresent(EndpointConnection::cancel);
     }
 
-    /** Stops or resumes reading the answer. */
+    /** Pauses or resumes reading the response. */
     public void setReading(boolean reading) {
         connection.ifPresent(opened -> opened.setReading(reading));
     }
--- a/router/src/main/java/org/bronzelug/router/endpoint/EndpointConnection.java
+++ b/router/src/main/java/org/bronzelug/router/endpoint/EndpointConnection.java
@@ -15,12 +15,13 @@
 import org.bronzelug.router.exchange.WireFormat;
 
 /**
- * One connection to an endpoint: one request at a time.
+ * One connection to an endpoint, which carries one request at a time.
  *
- * <p>Invariant: it is used again only if the last request was written whole, its answer read whole,
- * and nothing came after it. The failure this prevents: an endpoint answers twice, or a stray
- * answer arrives late, and the next caller gets another's answer. A stray answer that crosses the
- * next request is told apart by the request's id and skipped. Confined to the traffic thread.
+ * <p>Invariant: the connection is reused only if the last request was written completely, its
+ * response was read completely, and no bytes followed the response. Without this, an endpoint that
+ * responds twice, or a response that arrives late, would give the next caller the response to
+ * another caller's request. A late response that arrives after the next request was sent is
+ * recognized by its request id and skipped. Confined to the traffic thread.
  */
 final class EndpointConnection extends ChannelInboundHandlerAdapter {
     private static final int CONTINUE = 100;
@@ -33,7 +34,7 @@
     private Optional<ChannelFuture> written = Optional.empty();
     private String requestId = "";
     private boolean reusable = true;
-    private boolean skipping;
+    private boolean skippingResponse;
     private boolean headSeen;
     private long idleSinceNanos;
     private long idleLimitMillis = Long.MAX_VALUE;
@@ -47,16 +48,16 @@
         channel = opened;
     }
 
-    /** Sends a request; the listener hears of its answer. */
-    void send(FullHttpRequest request, String id, ResponseListener answerListener) {
-        listener = Optional.of(answerListener);
+    /** Sends a request and passes its response to the listener. */
+    void send(FullHttpRequest request, String id, ResponseListener responseListener) {
+        listener = Optional.of(responseListener);
         requestId = id;
         headSeen = false;
         written = Optional.of(channel.writeAndFlush(request));
-        answerListener.onSent();
+        responseListener.onSent();
     }
 
-    /** Gives the request up: the endpoint sees the connection close and stops work. */
+    /** Cancels the request by closing the connection, so that the endpoint stops working on it. */
     void cancel() {
         listener = Optional.empty();
         close();
@@ -67,6 +68,12 @@
         channel.close();
     }
 
+    /**
+     * Returns whether the idle connection can carry another request.
+     *
+     * @param marginMillis how long before the endpoint's idle limit the connection is not used any
+     *     more
+     */
     boolean isUsable(long nowNanos, long marginMillis) {
         long idleMillis = (nowNanos - idleSinceNanos) / 1_000_000;
         return reusable
@@ -75,7 +82,7 @@
                         || idleMillis < idleLimitMillis - marginMillis);
     }
 
-    /** Stops or resumes reading, while the caller takes the answer slowly. */
+    /** Pauses or resumes reading, so that a slow caller slows down the endpoint. */
     void setReading(boolean reading) {
         channel.config().setAutoRead(reading);
     }
@@ -103,26 +110,26 @@
     private void readHead(HttpResponse response) {
         int status = response.status().code();
         if (status >= CONTINUE && status < FIRST_FINAL_STATUS) {
-            skipping = true;
+            skippingResponse = true;
             return;
         }
-        EndpointResponse answer = wire.decodeResponse(response);
-        if (answer.requestId().isPresent() && !answer.requestId().get().equals(requestId)) {
-            skipping = true;
+        EndpointResponse head = wire.decodeResponse(response);
+        if (head.requestId().isPresent() && !head.requestId().get().equals(requestId)) {
+            skippingResponse = true;
             reusable = false;
             return;
         }
         headSeen = true;
-        reusable &= answer.keepAlive();
-        answer.idleMillis().ifPresent(millis -> idleLimitMillis = millis);
-        listener.ifPresent(hearing -> hearing.onHead(answer, response));
+        reusable &= head.keepAlive();
+        head.idleMillis().ifPresent(millis -> idleLimitMillis = millis);
+        listener.ifPresent(active -> active.onHead(head, response));
     }
 
     private void readContent(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
-        if (skipping) {
+        if (skippingResponse) {
             content.release();
-            skipping = !last;
+            skippingResponse = !last;
             return;
         }
         if (content.content().isReadable() && listener.isPresent()) {
@@ -136,24 +143,24 @@
     }
 
     private void complete() {
-        Optional<ResponseListener> hearing = listener;
+        Optional<ResponseListener> active = listener;
         listener = Optional.empty();
-        boolean whole = written.map(ChannelFuture::isSuccess).orElse(false);
-        reusable &= whole && channel.isActive();
+        boolean writtenCompletely = written.map(ChannelFuture::isSuccess).orElse(false);
+        reusable &= writtenCompletely && channel.isActive();
         idleSinceNanos = System.nanoTime();
         if (reusable) {
             onIdle.accept(this);
         } else {
             channel.close();
         }
-        hearing.ifPresent(ResponseListener::onComplete);
+        active.ifPresent(ResponseListener::onComplete);
     }
 
     private void fail(String cause) {
-        Optional<ResponseListener> hearing = listener;
+        Optional<ResponseListener> active = listener;
         listener = Optional.empty();
         close();
-        hearing.ifPresent(waiting -> waiting.onBroken(cause));
+        active.ifPresent(waiting -> waiting.onBroken(cause));
     }
 
     @Override
--- a/router/src/main/java/org/bronzelug/router/endpoint/EndpointConnections.java
+++ b/router/src/main/java/org/bronzelug/router/endpoint/EndpointConnections.java
@@ -17,14 +17,15 @@
 import org.bronzelug.router.http.SocketSettings;
 
 /**
- * The connections to one endpoint: kept ones are used before new ones are opened, the last used
- * first. Confined to the traffic thread.
+ * The connection pool of one endpoint. A request uses the most recently used idle connection, or a
+ * new one if no idle connection is usable. Confined to the traffic thread.
  */
 public final class EndpointConnections {
     /**
-     * How long before an endpoint's idle limit a kept connection is no longer used. The endpoint
-     * closes at its limit; a request sent just then may or may not have run. Limits are told in
-     * whole seconds, and links take milliseconds.
+     * How long before an endpoint's idle limit an idle connection is not used any more. The
+     * endpoint closes the connection at its limit, and a request sent at that moment may or may not
+     * have run. Endpoints state their limits in whole seconds, and links have delays of
+     * milliseconds.
      */
     private static final long IDLE_MARGIN_MILLIS = 1_000;
 
@@ -39,25 +40,25 @@
         this.wire = wire;
     }
 
-    /** Sends a request on a kept connection, or on a new one. */
+    /** Sends a request on an idle connection, or on a new one. */
     public EndpointCall send(
             FullHttpRequest request, String requestId, ResponseListener listener, long nowNanos) {
         EndpointCall call = new EndpointCall(request, requestId, listener);
         while (!idle.isEmpty()) {
-            EndpointConnection kept = idle.pollFirst();
-            if (kept.isUsable(nowNanos, IDLE_MARGIN_MILLIS)) {
-                call.start(kept);
+            EndpointConnection candidate = idle.pollFirst();
+            if (candidate.isUsable(nowNanos, IDLE_MARGIN_MILLIS)) {
+                call.start(candidate);
                 return call;
             }
-            kept.close();
+            candidate.close();
         }
         connect(call);
         return call;
     }
 
-    /** Closes the kept connections that are idle; calls under way go on. */
+    /** Closes the idle connections; requests in flight continue. */
     public void closeIdle() {
-        // A copy: a connection that closes leaves the queue at once, in the middle of the loop.
+        // Copied, since closing a connection removes it from the queue during the iteration.
         List.copyOf(idle).forEach(EndpointConnection::close);
         idle.clear();
     }
@@ -70,7 +71,7 @@
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, SocketSettings.CONNECT_MILLIS)
                         .handler(pipeline(connection));
-        SocketSettings.keepAlive(bootstrap);
+        SocketSettings.enableKeepAlive(bootstrap);
         bootstrap
                 .connect(address)
                 .addListener(
--- a/router/src/main/java/org/bronzelug/router/endpoint/EndpointLoad.java
+++ b/router/src/main/java/org/bronzelug/router/endpoint/EndpointLoad.java
@@ -1,10 +1,10 @@
 package org.bronzelug.router.endpoint;
 
 /**
- * An endpoint's load as it tells it.
+ * The load that an endpoint reports in a response. Immutable.
  *
- * @param running requests being served
- * @param waiting requests in its queue
- * @param slots that it serves at once
+ * @param running number of requests that are being served
+ * @param waiting number of requests in the endpoint's queue
+ * @param slots number of requests that the endpoint serves at the same time
  */
 public record EndpointLoad(int running, int waiting, int slots) {}
--- a/router/src/main/java/org/bronzelug/router/endpoint/EndpointResponse.java
+++ b/router/src/main/java/org/bronzelug/router/endpoint/EndpointResponse.java
@@ -5,18 +5,20 @@
 import org.bronzelug.core.limit.AdvertisedLimit;
 
 /**
- * What the engine needs to know of an answer's head. Immutable.
+ * The decoded head of an endpoint's response, independent of the platform's header names.
+ * Immutable.
  *
- * @param status of HTTP
- * @param requestId that the answer belongs to
- * @param endpointId who answers
- * @param genuine whether it bears the endpoint's own stamp
- * @param notExecuted whether the endpoint states that the request did not run
- * @param load as of this answer
- * @param limit on the requests of all VMs together, as long as answers name it
- * @param weightsVersion that generates the answer
- * @param idleMillis for how long the endpoint keeps the connection open between requests
- * @param keepAlive whether the connection takes another request afterwards
+ * @param status the HTTP status code
+ * @param requestId id of the request that the response belongs to
+ * @param endpointId id of the endpoint incarnation that responded
+ * @param genuine whether the response has the stamp header, which only the endpoint itself sets
+ * @param notExecuted whether the endpoint states that it did not execute the request
+ * @param load the endpoint's load at the time of the response
+ * @param limit the limit on the requests of all VMs together, which holds until a later response
+ *     has another one or none
+ * @param weightsVersion the version of the weights that the response is generated on
+ * @param idleMillis how long the endpoint keeps an idle connection open
+ * @param keepAlive whether the connection can carry another request after the response
  */
 public record EndpointResponse(
         int status,
--- a/router/src/main/java/org/bronzelug/router/endpoint/ResponseListener.java
+++ b/router/src/main/java/org/bronzelug/router/endpoint/ResponseListener.java
@@ -4,31 +4,37 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** Hears of one request at one endpoint, on the traffic thread. One of the ends is called once. */
+/**
+ * Receives the events of one request at one endpoint, on the traffic thread. Exactly one of {@link
+ * #onUnreachable}, {@link #onComplete} and {@link #onBroken} is called, once and last, unless the
+ * request is withheld or cancelled.
+ */
 public interface ResponseListener {
     /**
-     * A connection is open and the request is about to be written: the last moment to correct or
-     * withhold it, since it may have waited for the connection.
+     * Called when a connection is open and the request is about to be written. The request may have
+     * waited for the connection, so its headers can be updated here, or the request withheld.
      *
-     * @return whether it is to be sent; where it is not, nothing else is called
+     * @return whether to send the request; if false, no other method is called
      */
     boolean beforeSend(HttpHeaders headers);
 
-    /** No connection could be opened: nothing was sent. */
+    /** Called if no connection could be opened, so nothing was sent. */
     void onUnreachable(String cause);
 
-    /** The request was handed to an open connection: from here on it may run. */
+    /** Called when the request was passed to an open connection; from now on it may run. */
     void onSent();
 
-    /** The answer's head. */
-    void onHead(EndpointResponse answer, HttpResponse response);
+    /** Called with the head of the response. */
+    void onHead(EndpointResponse head, HttpResponse response);
 
-    /** A part of the body; the listener releases it. */
+    /** Called with a chunk of the body, which the listener must release. */
     void onData(ByteBuf data);
 
-    /** The answer is whole. */
+    /** Called when the response is complete. */
     void onComplete();
 
-    /** The connection ended, or carried bytes that are no answer, before the answer was whole. */
+    /**
+     * Called if the connection closed or carried malformed bytes before the response was complete.
+     */
     void onBroken(String cause);
 }
--- a/router/src/main/java/org/bronzelug/router/endpoint/package-info.java
+++ b/router/src/main/java/org/bronzelug/router/endpoint/package-info.java
@@ -1,2 +1,2 @@
-/** Connections to endpoints, and what is known of each endpoint. */
+/** Connections to endpoints, and the responses that arrive on them. */
 package org.bronzelug.router.endpoint;
--- a/router/src/main/java/org/bronzelug/router/http/HttpCaller.java
+++ b/router/src/main/java/org/bronzelug/router/http/HttpCaller.java
@@ -32,15 +32,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes single calls over kept connections to one address: to the platform, to a runner's order
- * interface, to a peer.
+ * HTTP client with a connection pool for one address: the platform, the order interface of a
+ * runner, or a peer.
  *
  * <p>Invariant: a connection on which a call has failed or timed out is closed, so that a late
- * answer is never taken for the next call's. Futures complete on the event loop. Confined to that
- * loop, but for {@link #call}, which any thread may call.
+ * response is never taken for the response to the next call. Futures complete on the event loop.
+ * Confined to that loop, except for {@link #call} and {@link #close}, which any thread may call.
  */
 public final class HttpCaller {
-    /** Larger than the largest object of the platform, with its framing: a megabyte a list page. */
+    /** Larger than the largest response of the platform, a list page of a megabyte plus framing. */
     private static final int MAXIMUM_RESPONSE_BYTES = 8 * 1_048_576;
 
     private final EventLoop loop;
@@ -52,7 +52,10 @@
         this.address = address;
     }
 
-    /** Makes a call; it fails with an {@link IOException} where no whole answer comes in time. */
+    /**
+     * Sends a request. The future completes with the response, or with an {@link IOException} if no
+     * complete response arrives within the timeout.
+     */
     public CompletableFuture<HttpReply> call(
             HttpMethod method,
             String path,
@@ -75,12 +78,12 @@
 
     private void begin(
             FullHttpRequest request, CompletableFuture<HttpReply> reply, long timeoutMillis) {
-        Connection kept = idle.pollFirst();
-        while (kept != null && !kept.channel.isActive()) {
-            kept = idle.pollFirst();
+        Connection idleConnection = idle.pollFirst();
+        while (idleConnection != null && !idleConnection.channel.isActive()) {
+            idleConnection = idle.pollFirst();
         }
-        if (kept != null) {
-            kept.send(request, reply, timeoutMillis);
+        if (idleConnection != null) {
+            idleConnection.send(request, reply, timeoutMillis);
             return;
         }
         Connection connection = new Connection();
@@ -90,7 +93,7 @@
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, SocketSettings.CONNECT_MILLIS)
                         .handler(connection.pipeline());
-        SocketSettings.keepAlive(bootstrap);
+        SocketSettings.enableKeepAlive(bootstrap);
         bootstrap
                 .connect(address)
                 .addListener(
@@ -107,41 +110,41 @@
                         });
     }
 
-    /** Ends all kept connections that are idle. */
+    /** Closes all idle connections. */
     public void close() {
         loop.execute(this::closeIdle);
     }
 
     private void closeIdle() {
-        // A copy: a connection that closes leaves the queue at once, in the middle of the loop.
+        // Copied, since closing a connection removes it from the queue during the iteration.
         List.copyOf(idle).forEach(connection -> connection.channel.close());
         idle.clear();
     }
 
-    /** One connection with at most one call under way. */
+    /** One connection with at most one call in flight. */
     private final class Connection {
         private Channel channel;
-        private Optional<CompletableFuture<HttpReply>> waiting = Optional.empty();
+        private Optional<CompletableFuture<HttpReply>> pendingReply = Optional.empty();
         private Optional<ScheduledFuture<?>> timeout = Optional.empty();
 
         private void send(
                 FullHttpRequest request, CompletableFuture<HttpReply> reply, long timeoutMillis) {
-            waiting = Optional.of(reply);
+            pendingReply = Optional.of(reply);
             timeout =
                     Optional.of(
                             loop.schedule(
-                                    () -> timedOut(timeoutMillis),
+                                    () -> onTimeout(timeoutMillis),
                                     timeoutMillis,
                                     TimeUnit.MILLISECONDS));
             channel.writeAndFlush(request);
         }
 
         /**
-         * Ends the kept connections as well: they were opened at the same time over the same path,
-         * and each that has gone silent with this one would cost one more call its time-out.
+         * Closes the idle connections as well. They use the same network path, and each one that no
+         * longer works either would make one more call time out.
          */
-        private void timedOut(long timeoutMillis) {
-            fail("no answer in " + timeoutMillis + " ms");
+        private void onTimeout(long timeoutMillis) {
+            fail("no response within " + timeoutMillis + " ms");
             closeIdle();
         }
 
@@ -158,14 +161,15 @@
         }
 
         private void complete(FullHttpResponse response) {
-            Optional<CompletableFuture<HttpReply>> reply = waiting;
-            waiting = Optional.empty();
+            Optional<CompletableFuture<HttpReply>> reply = pendingReply;
+            pendingReply = Optional.empty();
             timeout.ifPresent(running -> running.cancel(false));
             if (reply.isEmpty() || response.decoderResult().isFailure()) {
                 channel.close();
                 reply.ifPresent(
-                        caller ->
-                                caller.completeExceptionally(new IOException("malformed answer")));
+                        future ->
+                                future.completeExceptionally(
+                                        new IOException("malformed response")));
                 return;
             }
             byte[] body = new byte[response.content().readableBytes()];
@@ -179,18 +183,18 @@
         }
 
         private void fail(String cause) {
-            Optional<CompletableFuture<HttpReply>> reply = waiting;
-            waiting = Optional.empty();
+            Optional<CompletableFuture<HttpReply>> reply = pendingReply;
+            pendingReply = Optional.empty();
             timeout.ifPresent(running -> running.cancel(false));
             idle.remove(this);
             channel.close();
             reply.ifPresent(
-                    caller ->
-                            caller.completeExceptionally(new IOException(address + ": " + cause)));
+                    future ->
+                            future.completeExceptionally(new IOException(address + ": " + cause)));
         }
     }
 
-    /** Hands a connection's events on to it. */
+    /** Passes the events of a channel to its connection. */
     private static final class ResponseHandler
             extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Connection connection;
--- a/router/src/main/java/org/bronzelug/router/http/HttpReply.java
+++ b/router/src/main/java/org/bronzelug/router/http/HttpReply.java
@@ -3,11 +3,11 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * A whole answer to a call. Immutable; the body is not changed after construction.
+ * A complete response to a call. Immutable; the body must not be changed after construction.
  *
- * @param status of HTTP
- * @param headers of the answer
- * @param body its bytes
+ * @param status the HTTP status code
+ * @param headers the headers of the response
+ * @param body the bytes of the body
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpReply(int status, HttpHeaders headers, byte[] body) {
--- a/router/src/main/java/org/bronzelug/router/http/HttpResponder.java
+++ b/router/src/main/java/org/bronzelug/router/http/HttpResponder.java
@@ -28,9 +28,10 @@
 import org.bronzelug.kernel.ServiceException;
 
 /**
- * Answers small calls at one address from what the control thread knows: readiness, addresses,
- * metrics, a peer's reads. The function is called on the control thread, and completes its answer
- * there; a peer's read may wait for a change.
+ * HTTP server for small requests at one address: readiness, addresses, metrics, and peers' reads of
+ * platform objects. Responses are created from the state of the control thread: the response
+ * function is called on that thread, and completes its future there. The response to a peer's read
+ * may be delayed until an object changes.
  */
 public final class HttpResponder implements Service {
     private static final int MAXIMUM_REQUEST_BYTES = 65_536;
@@ -38,21 +39,21 @@
     private final String name;
     private final EventLoop control;
     private final InetSocketAddress address;
-    private final Function<String, CompletableFuture<SmallResponse>> answers;
+    private final Function<String, CompletableFuture<SmallResponse>> responses;
     private Optional<Channel> listener = Optional.empty();
 
     /**
-     * @param answers from the request's path and query to its answer
+     * @param responses returns the response for a request's path and query
      */
     public HttpResponder(
             String name,
             EventLoop control,
             InetSocketAddress address,
-            Function<String, CompletableFuture<SmallResponse>> answers) {
+            Function<String, CompletableFuture<SmallResponse>> responses) {
         this.name = name;
         this.control = control;
         this.address = address;
-        this.answers = answers;
+        this.responses = responses;
     }
 
     @Override
@@ -82,7 +83,7 @@
         listener.ifPresent(Channel::close);
     }
 
-    /** Sets a connection up. */
+    /** Sets up the pipeline of a new connection. */
     private final class ConnectionSetup extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(SocketChannel channel) {
@@ -93,23 +94,23 @@
         }
     }
 
-    /** Answers the requests of a connection. */
+    /** Handles the requests of a connection. */
     private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             boolean keepAlive = HttpUtil.isKeepAlive(request);
-            answers.apply(request.uri()).thenAccept(answer -> write(context, answer, keepAlive));
+            responses.apply(request.uri()).thenAccept(small -> write(context, small, keepAlive));
         }
 
-        private void write(ChannelHandlerContext context, SmallResponse answer, boolean keepAlive) {
+        private void write(ChannelHandlerContext context, SmallResponse small, boolean keepAlive) {
             DefaultFullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
-                            HttpResponseStatus.valueOf(answer.status()),
-                            Unpooled.wrappedBuffer(answer.body()));
+                            HttpResponseStatus.valueOf(small.status()),
+                            Unpooled.wrappedBuffer(small.body()));
             response.headers()
-                    .set(HttpHeaderNames.CONTENT_TYPE, answer.contentType())
-                    .set(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
+                    .set(HttpHeaderNames.CONTENT_TYPE, small.contentType())
+                    .set(HttpHeaderNames.CONTENT_LENGTH, small.body().length);
             if (keepAlive) {
                 context.writeAndFlush(response);
             } else {
@@ -125,11 +126,11 @@
     }
 
     /**
-     * An answer. The body is not changed after construction.
+     * A response. Immutable; the body must not be changed after construction.
      *
-     * @param status of HTTP
-     * @param contentType of the body
-     * @param body its bytes
+     * @param status the HTTP status code
+     * @param contentType the media type of the body
+     * @param body the bytes of the body
      */
     @SuppressWarnings("ArrayRecordComponent")
     public record SmallResponse(int status, String contentType, byte[] body) {}
--- a/router/src/main/java/org/bronzelug/router/http/SocketSettings.java
+++ b/router/src/main/java/org/bronzelug/router/http/SocketSettings.java
@@ -6,15 +6,19 @@
 import java.net.InetSocketAddress;
 import jdk.net.ExtendedSocketOptions;
 
-/** How connections that this process opens are set up. Stateless and thread-safe. */
+/** Socket options of the connections that this process opens. Stateless and thread-safe. */
 public final class SocketSettings {
-    /** A connection takes two link delays, milliseconds; a lost packet is sent again after 1 s. */
+    /**
+     * Timeout for opening a connection. This takes two link delays of milliseconds; TCP resends a
+     * lost packet after 1 s.
+     */
     public static final int CONNECT_MILLIS = 1_200;
 
     /**
-     * Seconds of silence until the kernel probes a connection, and between its probes. A peer whose
-     * machine is gone answers nothing: without probes a request would wait for it until its
-     * deadline. Three seconds in all; the kernel's least unit is a second.
+     * Seconds without traffic until the kernel probes a connection, and between the probes. A
+     * machine that lost its power never closes its connections, so without probes a request to it
+     * would wait until its deadline. A dead connection is detected after three seconds in all; the
+     * kernel's smallest unit is a second.
      */
     private static final int PROBE_SECONDS = 1;
 
@@ -22,8 +26,8 @@
 
     private SocketSettings() {}
 
-    /** Has the kernel probe the connection while it is silent. */
-    public static void keepAlive(Bootstrap bootstrap) {
+    /** Makes the kernel probe idle connections, and disables delays of small writes. */
+    public static void enableKeepAlive(Bootstrap bootstrap) {
         bootstrap
                 .option(ChannelOption.SO_KEEPALIVE, true)
                 .option(ChannelOption.TCP_NODELAY, true)
@@ -32,7 +36,7 @@
                 .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), PROBES);
     }
 
-    /** Reads IP:PORT, without a name look-up. */
+    /** Parses IP:PORT. */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(
--- a/router/src/main/java/org/bronzelug/router/http/package-info.java
+++ b/router/src/main/java/org/bronzelug/router/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP and sockets as both sides of the router use them. */
+/** HTTP client, small HTTP server and socket options for the router's own calls and services. */
 package org.bronzelug.router.http;
--- a/router/src/test/java/org/bronzelug/router/http/HttpCallerTest.java
+++ b/router/src/test/java/org/bronzelug/router/http/HttpCallerTest.java
@@ -24,7 +24,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Calls to the platform over connections that have gone silent. */
+/**
+ * Guards against repeated timeouts after a network path fails: the idle connections that were
+ * opened over it do not work any more but are still open.
+ */
 class HttpCallerTest {
     private static final long TIMEOUT_MILLIS = 400;
 
@@ -36,10 +39,13 @@
         group.shutdownGracefully();
     }
 
-    /** One kept connection after the other costs a time-out, though new ones are answered. */
+    /**
+     * After a timeout, calls must use new connections. Otherwise one idle connection after the
+     * other would make a call time out, although the server responds on new ones.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 5})
-    void afterATimeoutTheOtherKeptConnectionsAreNotUsed(int connections) throws Exception {
+    void idleConnectionsAreNotUsedAfterATimeout(int connections) throws Exception {
         try (SilencedServer server = new SilencedServer(connections)) {
             HttpCaller caller = new HttpCaller(group.next(), server.address());
             List<CompletableFuture<HttpReply>> first =
@@ -56,15 +62,18 @@
         return caller.call(HttpMethod.GET, "/", Map.of(), new byte[0], TIMEOUT_MILLIS);
     }
 
-    /** Its first connections are answered once each, all at one moment, and never again. */
+    /**
+     * A server that responds once on each of its first connections, after a request has arrived on
+     * all of them, and never again on these.
+     */
     private static final class SilencedServer implements AutoCloseable {
         private final ServerSocket server =
                 new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        private final int silenced;
-        private int asked;
+        private final int silentConnections;
+        private int requestCount;
 
-        private SilencedServer(int silenced) throws IOException {
-            this.silenced = silenced;
+        private SilencedServer(int silentConnections) throws IOException {
+            this.silentConnections = silentConnections;
             Thread.ofVirtual().start(this::accept);
         }
 
@@ -76,11 +85,11 @@
             try {
                 for (int number = 0; true; number++) {
                     Socket socket = server.accept();
-                    boolean silent = number < silenced;
+                    boolean silent = number < silentConnections;
                     Thread.ofVirtual().start(() -> serve(socket, silent));
                 }
             } catch (IOException closed) {
-                // The test is over.
+                // The test has closed the server.
             }
         }
 
@@ -90,27 +99,28 @@
                         new BufferedReader(
                                 new InputStreamReader(
                                         socket.getInputStream(), StandardCharsets.US_ASCII));
-                boolean answers = true;
+                boolean responds = true;
                 for (String line = reader.readLine(); line != null; line = reader.readLine()) {
-                    if (line.isEmpty() && answers) {
-                        awaitOthers(silent);
+                    if (line.isEmpty() && responds) {
+                        awaitOtherConnections(silent);
                         socket.getOutputStream()
                                 .write(
                                         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
                                                 .getBytes(StandardCharsets.US_ASCII));
-                        answers = !silent;
+                        responds = !silent;
                     }
                 }
             } catch (IOException | InterruptedException closed) {
-                // The caller gave the connection up.
+                // The client has closed the connection.
             }
         }
 
-        /** Each of the first calls is to have a connection of its own. */
-        private synchronized void awaitOthers(boolean silent) throws InterruptedException {
-            asked++;
+        /** Waits until all silent connections have a request, so that no two calls share one. */
+        private synchronized void awaitOtherConnections(boolean silent)
+                throws InterruptedException {
+            requestCount++;
             notifyAll();
-            while (silent && asked < silenced) {
+            while (silent && requestCount < silentConnections) {
                 wait();
             }
         }
