--- a/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
@@ -137,7 +137,7 @@
         }
         endpoint = selection.choose(nowNanos);
         if (endpoint.isEmpty()) {
-            abandonUnplaced(nowNanos);
+            abandonWithoutEndpoint(nowNanos);
             return;
         }
         OptionalLong retryAfterMillis = selection.retryAfterMillis();
@@ -167,7 +167,7 @@
         call = Optional.of(chosen.connections().send(copy, admitted.head().id(), this, nowNanos));
     }
 
-    private void abandonUnplaced(long nowNanos) {
+    private void abandonWithoutEndpoint(long nowNanos) {
         OptionalLong limitMillis = selection.limitRetryMillis(nowNanos);
         if (limitMillis.isPresent()) {
             metrics.count("requests_past_endpoint_limits");
@@ -321,6 +321,8 @@
      * <p>Without this, a stream that left a runner which was to load weights broke off if the next
      * runner began to load at the same moment and rejected it, although both accepted requests
      * again within a second. Callers tolerate a gap of at least two seconds.
+     *
+     * @return whether another attempt is scheduled
      */
     private boolean scheduleResume() {
         if (!relay.canResume() || resumeDelays >= MAXIMUM_RESUME_DELAYS) {
@@ -345,7 +347,7 @@
 
     private void moveIfStalled() {
         if (endpoint.filter(current -> isStalled(current, System.nanoTime())).isPresent()) {
-            moveToOther("endpoint is silent", RetryKind.REQUIRED);
+            moveToOtherEndpoint("endpoint is silent", RetryKind.REQUIRED);
         }
     }
 
@@ -362,7 +364,7 @@
     @Override
     public void onDrain() {
         if (route().repeat() == RetryPolicy.RESUMABLE) {
-            moveToOther("runner loads weights", RetryKind.BY_CHOICE);
+            moveToOtherEndpoint("runner loads weights", RetryKind.BY_CHOICE);
         }
     }
 
@@ -384,7 +386,7 @@
     }
 
     /** Moves the request if that is allowed and another endpoint accepts it; otherwise it stays. */
-    private void moveToOther(String cause, RetryKind kind) {
+    private void moveToOtherEndpoint(String cause, RetryKind kind) {
         boolean possible = !relay.hasBegun() || relay.canResume();
         Optional<EndpointState> other = possible ? chooseForRetry(kind) : Optional.empty();
         if (other.isEmpty()) {
@@ -421,9 +423,7 @@
         abandon(reason, NO_ENDPOINT_RETRY_MILLIS);
     }
 
-    /**
-     * Rejects the request as not run if that is certain; otherwise fails it or resumes it later.
-     */
+    /** Rejects the request as not run if that is certain, else fails it or resumes it later. */
     private void abandon(String reason, long retryAfterMillis) {
         if (relay.hasBegun()) {
             if (!scheduleResume()) {
@@ -472,12 +472,12 @@
 
     /** Ends the current attempt and returns the endpoint that it was sent to. */
     private EndpointState endAttempt() {
-        EndpointState left = endpoint.orElseThrow();
+        EndpointState current = endpoint.orElseThrow();
         endpoint = Optional.empty();
-        left.end(this);
+        current.end(this);
         prefill.end();
         call = Optional.empty();
-        return left;
+        return current;
     }
 
     private void finish(String outcome, String reason) {
--- a/router/src/main/java/org/bronzelug/router/exchange/ResponseRelay.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/ResponseRelay.java
@@ -97,10 +97,10 @@
         buffered.writeBytes(data);
         data.release();
         if (buffered.readableBytes() > MAXIMUM_BUFFERED_BYTES) {
-            ByteBuf first = buffered;
+            ByteBuf firstChunk = buffered;
             buffered = Unpooled.EMPTY_BUFFER;
             sendHead(OptionalLong.empty());
-            caller.writeData(first);
+            caller.writeData(firstChunk);
         }
         return true;
     }
--- a/router/src/main/java/org/bronzelug/router/http/HttpCaller.java
+++ b/router/src/main/java/org/bronzelug/router/http/HttpCaller.java
@@ -140,8 +140,8 @@
         }
 
         /**
-         * Closes the idle connections as well. They use the same network path, and each one that no
-         * longer works either would make one more call time out.
+         * Closes the idle connections as well. They were opened at the same time over the same
+         * network path, and each one that no longer works either would make one more call time out.
          */
         private void onTimeout(long timeoutMillis) {
             fail("no response within " + timeoutMillis + " ms");
--- a/router/src/main/java/org/bronzelug/router/http/HttpResponder.java
+++ b/router/src/main/java/org/bronzelug/router/http/HttpResponder.java
@@ -43,7 +43,7 @@
     private Optional<Channel> listener = Optional.empty();
 
     /**
-     * @param responses returns the response for a request's path and query
+     * @param responses a function that returns the response for a request's path and query
      */
     public HttpResponder(
             String name,
@@ -99,18 +99,21 @@
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             boolean keepAlive = HttpUtil.isKeepAlive(request);
-            responses.apply(request.uri()).thenAccept(small -> write(context, small, keepAlive));
+            responses
+                    .apply(request.uri())
+                    .thenAccept(smallResponse -> write(context, smallResponse, keepAlive));
         }
 
-        private void write(ChannelHandlerContext context, SmallResponse small, boolean keepAlive) {
+        private void write(
+                ChannelHandlerContext context, SmallResponse smallResponse, boolean keepAlive) {
             DefaultFullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
-                            HttpResponseStatus.valueOf(small.status()),
-                            Unpooled.wrappedBuffer(small.body()));
+                            HttpResponseStatus.valueOf(smallResponse.status()),
+                            Unpooled.wrappedBuffer(smallResponse.body()));
             response.headers()
-                    .set(HttpHeaderNames.CONTENT_TYPE, small.contentType())
-                    .set(HttpHeaderNames.CONTENT_LENGTH, small.body().length);
+                    .set(HttpHeaderNames.CONTENT_TYPE, smallResponse.contentType())
+                    .set(HttpHeaderNames.CONTENT_LENGTH, smallResponse.body().length);
             if (keepAlive) {
                 context.writeAndFlush(response);
             } else {
--- a/router/src/main/java/org/bronzelug/router/traffic/EndpointTable.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/EndpointTable.java
@@ -38,7 +38,7 @@
             PeerEndpointUsage usage =
                     update.peerUsage().getOrDefault(entry.id(), PeerEndpointUsage.NONE);
             boolean loadOrdered = update.loadOrdered().contains(entry.id());
-            EndpointState state = states.computeIfAbsent(entry.id(), id -> open(entry));
+            EndpointState state = states.computeIfAbsent(entry.id(), id -> createState(entry));
             if (state.update(entry, usage, loadOrdered)) {
                 draining.add(state);
             }
@@ -74,7 +74,7 @@
         return removed;
     }
 
-    private EndpointState open(EndpointEntry entry) {
+    private EndpointState createState(EndpointEntry entry) {
         return new EndpointState(
                 entry,
                 new EndpointConnections(traffic, SocketSettings.address(entry.address()), wire),
