--- a/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
@@ -22,11 +22,19 @@
 import org.bronzelug.router.traffic.TrafficState;
 
 /**
- * One admitted request: sent to an endpoint, perhaps to another one, and answered once.
+ * Forwards one admitted request and completes it exactly once: with a response, with an error, or
+ * by closing the caller's connection within a response.
  *
- * <p>Invariant: a request that was handed to a connection and not stated to be not executed is sent
- * again only where its route allows that; and "not run" is said only where it holds for all
- * attempts. Confined to the traffic thread.
+ * <p>The request is sent to one endpoint at a time. If an attempt fails before the caller has got
+ * any part of a response, the request is retried at another endpoint if {@link Attempts} allows it.
+ * A resumable stream is resumed at another endpoint after the last event that was forwarded.
+ * Otherwise the caller gets an error, or its connection is closed. A request whose endpoint is
+ * stalled, and a resumable stream whose endpoint is about to load weights, also move to another
+ * endpoint, but only after that one has been chosen.
+ *
+ * <p>Invariants: a request that may have run, since it was written to a connection and not reported
+ * as not executed, is sent again only if its route allows retries. The caller is told that the
+ * request has not run only if that holds for all attempts. Confined to the traffic thread.
  */
 final class Exchange implements ResponseListener, CallerListener, EndpointState.DrainListener {
     private static final int BAD_GATEWAY = 502;
@@ -37,23 +45,21 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /**
-     * How long past the caller's deadline an answer is waited for. The endpoint knows the deadline
-     * and answers by then itself; its answer takes a moment.
+     * How long after the caller's deadline the response is awaited. The endpoint knows the deadline
+     * and responds by then; its response takes a moment to arrive.
      */
     private static final long DEADLINE_GRACE_MILLIS = 150;
 
-    /** Retry after a refusal for want of endpoints: a runner is back, or replaced, in a second. */
-    private static final long NO_ENDPOINT_MILLIS = 250;
+    /** Retry delay if no endpoint is available; a runner is back or replaced within a second. */
+    private static final long NO_ENDPOINT_RETRY_MILLIS = 250;
 
-    /** Plain calls take a sixth of their goal; one that takes twice the goal is stuck. */
-    private static final int OVERDUE_GOALS = 2;
+    /** Plain requests take a sixth of their goal time; one that takes twice the goal is stuck. */
+    private static final int STALLED_GOAL_MULTIPLE = 2;
 
-    /**
-     * Half of the gap between events that callers bear at least, in steps of a datagram's round.
-     */
-    private static final int MAXIMUM_RESUME_PAUSES = 7;
+    /** Half of the gap between events that callers tolerate, in rounds of state updates. */
+    private static final int MAXIMUM_RESUME_DELAYS = 7;
 
-    private static final long RESUME_PAUSE_MILLIS = 150;
+    private static final long RESUME_DELAY_MILLIS = 150;
 
     private final EventLoop traffic;
     private final TrafficState state;
@@ -61,12 +67,12 @@
     private final RouterMetrics metrics;
     private final FullHttpRequest request;
     private final CallerConnection caller;
-    private final Admitted admitted;
+    private final AdmittedRequest admitted;
     private final ResponseRelay relay;
-    private int resumePauses;
+    private int resumeDelays;
     private final EndpointSelection selection;
     private final Attempts attempts;
-    private final EndpointRequests requests;
+    private final EndpointRequestBuilder builder;
     private final PrefillProgress prefill;
     private final SilenceWatch silence;
     private final ExchangeLog log;
@@ -74,7 +80,7 @@
     private Optional<ScheduledFuture<?>> timeout = Optional.empty();
     private Optional<EndpointState> endpoint = Optional.empty();
     private Optional<EndpointCall> call = Optional.empty();
-    private long firstNanos;
+    private long firstDataNanos;
     private long sentNanos;
     private boolean done;
 
@@ -85,7 +91,7 @@
             RouterMetrics metrics,
             FullHttpRequest request,
             CallerConnection caller,
-            Admitted admitted) {
+            AdmittedRequest admitted) {
         this.traffic = traffic;
         this.state = state;
         this.wire = wire;
@@ -95,9 +101,9 @@
         this.admitted = admitted;
         this.selection = new EndpointSelection(state, admitted);
         this.attempts = new Attempts(state, admitted);
-        this.requests = new EndpointRequests(state, wire, admitted);
+        this.builder = new EndpointRequestBuilder(state, wire, admitted);
         this.prefill = new PrefillProgress(state, admitted);
-        this.silence = new SilenceWatch(traffic, this::leaveSilent);
+        this.silence = new SilenceWatch(traffic, this::moveIfStalled);
         this.log = new ExchangeLog(admitted);
         this.relay = new ResponseRelay(caller, wire, admitted.route());
     }
@@ -125,19 +131,19 @@
 
     private void dispatch() {
         long nowNanos = System.nanoTime();
-        if (requests.isExpired(nowNanos)) {
-            giveUp(DEADLINE_PASSED);
+        if (builder.isExpired(nowNanos)) {
+            abandon(DEADLINE_PASSED);
             return;
         }
         endpoint = selection.choose(nowNanos);
         if (endpoint.isEmpty()) {
-            giveUpUnplaced(nowNanos);
+            abandonWithoutEndpoint(nowNanos);
             return;
         }
         OptionalLong retryAfterMillis = selection.retryAfterMillis();
         if (retryAfterMillis.isPresent()) {
             endpoint = Optional.empty();
-            refuseUnrun(
+            rejectNotRun(
                     "runners are full, queued="
                             + Math.round(selection.runner().orElseThrow().queuedTokens()),
                     retryAfterMillis.getAsLong());
@@ -146,7 +152,7 @@
         send(endpoint.get(), nowNanos);
     }
 
-    /** Sends to an endpoint that was chosen. */
+    /** Starts an attempt at the chosen endpoint. */
     private void send(EndpointState chosen, long nowNanos) {
         endpoint = Optional.of(chosen);
         chargeRetry();
@@ -157,21 +163,21 @@
         log.sent(chosen, prefill.runner(), selection.limited());
         metrics.routed(nowNanos - admitted.arrivedNanos());
         FullHttpRequest copy =
-                requests.build(request, chosen, prefill.runner(), relay.lastEventId(), nowNanos);
+                builder.build(request, chosen, prefill.runner(), relay.lastEventId(), nowNanos);
         call = Optional.of(chosen.connections().send(copy, admitted.head().id(), this, nowNanos));
     }
 
-    private void giveUpUnplaced(long nowNanos) {
+    private void abandonWithoutEndpoint(long nowNanos) {
         OptionalLong limitMillis = selection.limitRetryMillis(nowNanos);
         if (limitMillis.isPresent()) {
             metrics.count("requests_past_endpoint_limits");
-            giveUp("endpoints are at the limits that they named", limitMillis.getAsLong());
+            abandon("endpoints are at the limits that they named", limitMillis.getAsLong());
         } else {
-            giveUp("no endpoint takes the request");
+            abandon("no endpoint takes the request");
         }
     }
 
-    /** A request that may have run before counts once more against its team's rate. */
+    /** Charges the team's rate again if the request may have run in an earlier attempt. */
     private void chargeRetry() {
         if (attempts.mayHaveRun()) {
             admitted.team().ifPresent(team -> state.rates().charge(team, admitted.tokens()));
@@ -181,20 +187,20 @@
     @Override
     public boolean beforeSend(HttpHeaders headers) {
         long nowNanos = System.nanoTime();
-        if (requests.isExpired(nowNanos)) {
+        if (builder.isExpired(nowNanos)) {
             selection.refund(nowNanos);
-            leaveEndpoint();
-            giveUp(DEADLINE_PASSED);
+            endAttempt();
+            abandon(DEADLINE_PASSED);
             return false;
         }
-        requests.remainingMillis(nowNanos).ifPresent(millis -> wire.setDeadline(headers, millis));
+        builder.remainingMillis(nowNanos).ifPresent(millis -> wire.setDeadline(headers, millis));
         return true;
     }
 
     @Override
     public void onUnreachable(String cause) {
         selection.refund(System.nanoTime());
-        EndpointState failed = leaveEndpoint();
+        EndpointState failed = endAttempt();
         failed.recordFailure(System.nanoTime());
         log.moved(failed, attempts.sends(), "unreachable: " + cause);
         dispatch();
@@ -206,66 +212,66 @@
     }
 
     @Override
-    public void onHead(EndpointResponse answer, HttpResponse response) {
-        EndpointState answering = endpoint.orElseThrow();
-        answering.recordAnswer(answer);
-        answering.heard(System.nanoTime());
-        prefill.answered(answering, answer);
-        if (answer.notExecuted() || answer.status() == MISDIRECTED) {
-            onNotExecuted(answer);
+    public void onHead(EndpointResponse head, HttpResponse response) {
+        EndpointState responding = endpoint.orElseThrow();
+        responding.recordResponse(head);
+        responding.recordActivity(System.nanoTime());
+        prefill.recordHead(responding, head);
+        if (head.notExecuted() || head.status() == MISDIRECTED) {
+            onNotExecuted(head);
             return;
         }
-        boolean spoiled = answer.isSuccess() && !answer.genuine();
-        boolean failed = spoiled || answer.isServerError();
+        boolean notGenuine = head.isSuccess() && !head.genuine();
+        boolean failed = notGenuine || head.isServerError();
         if (failed) {
-            Optional<EndpointState> other = takeOther(RetryKind.REQUIRED);
+            Optional<EndpointState> other = chooseForRetry(RetryKind.REQUIRED);
             if (other.isPresent()) {
                 cancelCall();
-                answering.recordFailure(System.nanoTime());
-                log.moved(leaveEndpoint(), attempts.sends(), "answered " + answer.status());
+                responding.recordFailure(System.nanoTime());
+                log.moved(endAttempt(), attempts.sends(), "answered " + head.status());
                 send(other.get(), System.nanoTime());
                 return;
             }
         }
-        if (spoiled) {
+        if (notGenuine) {
             cancelCall();
-            leaveEndpoint().recordFailure(System.nanoTime());
+            endAttempt().recordFailure(System.nanoTime());
             fail(BAD_GATEWAY, "the endpoint's answer is not genuine");
             return;
         }
-        relay.begin(answer, response);
+        relay.begin(head, response);
     }
 
-    /** The endpoint states that nothing ran: the request may go elsewhere, within the budget. */
-    private void onNotExecuted(EndpointResponse answer) {
+    /** Retries a request that the endpoint did not execute, within the retry budget. */
+    private void onNotExecuted(EndpointResponse head) {
         cancelCall();
-        EndpointState refusing = leaveEndpoint();
-        attempts.recordNotExecuted(refusing);
-        if (answer.status() == MISDIRECTED) {
-            refusing.markWeightsUnknown(System.nanoTime());
+        EndpointState rejecting = endAttempt();
+        attempts.recordNotExecuted(rejecting);
+        if (head.status() == MISDIRECTED) {
+            rejecting.markWeightsUnknown(System.nanoTime());
         } else {
-            refusing.recordFailure(System.nanoTime());
+            rejecting.recordFailure(System.nanoTime());
         }
-        log.moved(refusing, attempts.sends(), "not executed, status " + answer.status());
-        if (!relay.hasBegun() && attempts.tryAfterRefusal()) {
+        log.moved(rejecting, attempts.sends(), "not executed, status " + head.status());
+        if (!relay.hasBegun() && attempts.tryAfterRejection()) {
             dispatch();
         } else {
-            giveUp("endpoints refuse, last with " + answer.status());
+            abandon("endpoints refuse, last with " + head.status());
         }
     }
 
     @Override
     public void onData(ByteBuf data) {
         long nowNanos = System.nanoTime();
-        endpoint.ifPresent(answering -> answering.heard(nowNanos));
-        if (firstNanos == 0) {
-            firstNanos = nowNanos;
+        endpoint.ifPresent(responding -> responding.recordActivity(nowNanos));
+        if (firstDataNanos == 0) {
+            firstDataNanos = nowNanos;
         }
-        boolean wholePrompt = requests.isSaving() && relay.lastEventId().isEmpty();
-        prefill.received(wholePrompt, requests.isSaving(), nowNanos);
-        if (!relay.data(data)) {
+        boolean wholePrompt = builder.isSaving() && relay.lastEventId().isEmpty();
+        prefill.recordData(wholePrompt, builder.isSaving(), nowNanos);
+        if (!relay.forward(data)) {
             cancelCall();
-            leaveEndpoint();
+            endAttempt();
             caller.abort();
             finish("broken", "an event of the stream is missing");
         }
@@ -273,7 +279,7 @@
 
     @Override
     public void onComplete() {
-        leaveEndpoint();
+        endAttempt();
         if (relay.complete()) {
             finish(String.valueOf(relay.status()), "complete");
         } else {
@@ -283,7 +289,7 @@
 
     @Override
     public void onBroken(String cause) {
-        EndpointState broken = leaveEndpoint();
+        EndpointState broken = endAttempt();
         broken.recordFailure(System.nanoTime());
         if (relay.hasBegun()) {
             resumeOrAbort(cause);
@@ -298,7 +304,7 @@
         fail(BAD_GATEWAY, cause);
     }
 
-    /** The answer has begun: a stream goes on elsewhere if it may, anything else is broken off. */
+    /** Resumes a begun response at another endpoint if it can be, or closes the connection. */
     private void resumeOrAbort(String cause) {
         if (relay.prepareResume() && attempts.tryRetry()) {
             log.streamMoved(cause);
@@ -310,63 +316,65 @@
     }
 
     /**
-     * A begun stream that no endpoint takes just now is tried again a little later.
+     * Schedules another attempt for a begun stream that no endpoint accepts now.
+     *
+     * <p>Without this, a stream that left a runner which was to load weights broke off if the next
+     * runner began to load at the same moment and rejected it, although both accepted requests
+     * again within a second. Callers tolerate a gap of at least two seconds.
      *
-     * <p>The failure this prevents: it left a runner that was to load weights, the next one began
-     * to load at the same moment and refused it, and its caller saw it break off although both
-     * runners took requests again within a second. Callers bear a gap of two seconds and more.
+     * @return whether another attempt is scheduled
      */
-    private boolean waitToResume() {
-        if (!relay.canResume() || resumePauses >= MAXIMUM_RESUME_PAUSES) {
+    private boolean scheduleResume() {
+        if (!relay.canResume() || resumeDelays >= MAXIMUM_RESUME_DELAYS) {
             return false;
         }
-        resumePauses++;
-        selection.forgetTried();
-        traffic.schedule(this::tryToResume, RESUME_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        resumeDelays++;
+        selection.clearTried();
+        traffic.schedule(this::resume, RESUME_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         return true;
     }
 
-    private void tryToResume() {
+    private void resume() {
         if (done) {
             return;
         }
         if (attempts.takeRetry(RetryKind.REQUIRED)) {
             dispatch();
         } else {
-            giveUp("no repeat left for the stream");
+            abandon("no retry left for the stream");
         }
     }
 
-    private void leaveSilent() {
-        if (endpoint.filter(waiting -> isOverdue(waiting, System.nanoTime())).isPresent()) {
-            moveOn("endpoint is silent", RetryKind.REQUIRED);
+    private void moveIfStalled() {
+        if (endpoint.filter(current -> isStalled(current, System.nanoTime())).isPresent()) {
+            moveToOtherEndpoint("endpoint is silent", RetryKind.REQUIRED);
         }
     }
 
-    private boolean isOverdue(EndpointState waiting, long nowNanos) {
+    private boolean isStalled(EndpointState current, long nowNanos) {
         long waitedMillis = (nowNanos - sentNanos) / NANOS_PER_MILLI;
         boolean slow =
                 !route().stream()
-                        && firstNanos == 0
-                        && waitedMillis > OVERDUE_GOALS * route().goalMillis();
-        return slow || waiting.isSilent(nowNanos);
+                        && firstDataNanos == 0
+                        && waitedMillis > STALLED_GOAL_MULTIPLE * route().goalMillis();
+        return slow || current.isSilent(nowNanos);
     }
 
-    /** Moves a resumable stream to another runner, so that this one loads weights sooner. */
+    /** Moves a resumable stream to another runner, so that its runner can load weights sooner. */
     @Override
     public void onDrain() {
         if (route().repeat() == RetryPolicy.RESUMABLE) {
-            moveOn("runner loads weights", RetryKind.BY_CHOICE);
+            moveToOtherEndpoint("runner loads weights", RetryKind.BY_CHOICE);
         }
     }
 
     /**
-     * An endpoint that takes the request now, for one that may be repeated; it is chosen before the
-     * answer that is under way is given up, as there may be none.
+     * Chooses another endpoint and takes a retry, if the request may be retried. Called before the
+     * current attempt is cancelled, since there may be no other endpoint.
      */
-    private Optional<EndpointState> takeOther(RetryKind kind) {
+    private Optional<EndpointState> chooseForRetry(RetryKind kind) {
         long nowNanos = System.nanoTime();
-        if (!attempts.isRetryable() || requests.isExpired(nowNanos)) {
+        if (!attempts.isRetryable() || builder.isExpired(nowNanos)) {
             return Optional.empty();
         }
         Optional<EndpointState> other = selection.choose(nowNanos);
@@ -377,10 +385,10 @@
         return other;
     }
 
-    /** Goes to another endpoint if that is allowed and one takes the request; otherwise stays. */
-    private void moveOn(String cause, RetryKind kind) {
+    /** Moves the request if that is allowed and another endpoint accepts it; otherwise it stays. */
+    private void moveToOtherEndpoint(String cause, RetryKind kind) {
         boolean possible = !relay.hasBegun() || relay.canResume();
-        Optional<EndpointState> other = possible ? takeOther(kind) : Optional.empty();
+        Optional<EndpointState> other = possible ? chooseForRetry(kind) : Optional.empty();
         if (other.isEmpty()) {
             return;
         }
@@ -390,7 +398,7 @@
         } else {
             relay.reset();
         }
-        log.moved(leaveEndpoint(), attempts.sends(), cause);
+        log.moved(endAttempt(), attempts.sends(), cause);
         send(other.get(), System.nanoTime());
     }
 
@@ -400,25 +408,25 @@
             return;
         }
         cancelCall();
-        endpoint.ifPresent(state -> leaveEndpoint());
+        endpoint.ifPresent(state -> endAttempt());
         if (relay.hasBegun()) {
             caller.abort();
-            finish("broken", "timeout within the answer");
+            finish("broken", "timeout before the response was complete");
         } else if (attempts.mayHaveRun()) {
             fail(GATEWAY_TIMEOUT, "no answer in time");
         } else {
-            giveUp("no endpoint in time");
+            abandon("no endpoint in time");
         }
     }
 
-    private void giveUp(String reason) {
-        giveUp(reason, NO_ENDPOINT_MILLIS);
+    private void abandon(String reason) {
+        abandon(reason, NO_ENDPOINT_RETRY_MILLIS);
     }
 
-    /** Refuses as not run where that holds, with a retry delay. */
-    private void giveUp(String reason, long retryAfterMillis) {
+    /** Rejects the request as not run if that is certain, else fails it or resumes it later. */
+    private void abandon(String reason, long retryAfterMillis) {
         if (relay.hasBegun()) {
-            if (!waitToResume()) {
+            if (!scheduleResume()) {
                 caller.abort();
                 finish("broken", reason);
             }
@@ -428,33 +436,33 @@
             fail(BAD_GATEWAY, reason);
             return;
         }
-        refuseUnrun(reason, retryAfterMillis);
+        rejectNotRun(reason, retryAfterMillis);
     }
 
-    /** Refuses what has run nowhere, and gives its tokens back. */
-    private void refuseUnrun(String reason, long retryAfterMillis) {
+    /** Rejects a request that has not run at any endpoint, and refunds its tokens. */
+    private void rejectNotRun(String reason, long retryAfterMillis) {
         admitted.team().ifPresent(team -> state.rates().refund(team, admitted.tokens()));
         metrics.refused(UNAVAILABLE);
         finish(String.valueOf(UNAVAILABLE), reason);
-        caller.refuse(Rejection.retryLater(UNAVAILABLE, reason, "retry later", retryAfterMillis));
+        caller.reject(Rejection.retryLater(UNAVAILABLE, reason, "retry later", retryAfterMillis));
     }
 
     private void fail(int status, String reason) {
         metrics.failed(status);
         finish(String.valueOf(status), reason);
-        caller.refuse(Rejection.of(status, reason, "the request may have run"));
+        caller.reject(Rejection.of(status, reason, "the request may have run"));
     }
 
     @Override
-    public void onCallerGone() {
+    public void onCallerClosed() {
         cancelCall();
-        endpoint.ifPresent(state -> leaveEndpoint());
+        endpoint.ifPresent(state -> endAttempt());
         finish("gone", "the caller closed its connection");
     }
 
     @Override
     public void onWritable(boolean writable) {
-        call.ifPresent(underWay -> underWay.setReading(writable));
+        call.ifPresent(current -> current.setReading(writable));
     }
 
     private void cancelCall() {
@@ -462,13 +470,14 @@
         call = Optional.empty();
     }
 
-    private EndpointState leaveEndpoint() {
-        EndpointState left = endpoint.orElseThrow();
+    /** Ends the current attempt and returns the endpoint that it was sent to. */
+    private EndpointState endAttempt() {
+        EndpointState current = endpoint.orElseThrow();
         endpoint = Optional.empty();
-        left.end(this);
+        current.end(this);
         prefill.end();
         call = Optional.empty();
-        return left;
+        return current;
     }
 
     private void finish(String outcome, String reason) {
@@ -486,6 +495,6 @@
                 reason,
                 selection.tried(),
                 prefill.runner().or(selection::runner),
-                firstNanos);
+                firstDataNanos);
     }
 }
