--- a/daemon/src/main/java/org/bronzelug/daemon/Daemon.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/Daemon.java
@@ -11,9 +11,9 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * One VM's daemon: the kernel with its services.
+ * The daemon of one VM: a kernel with the daemon's services.
  *
- * <p>Thread-safe: it is started once, and stopped once, gracefully or at once.
+ * <p>Thread-safe. A daemon is started once and stopped once, gracefully or immediately.
  */
 public final class Daemon {
     private final DaemonComponent component;
@@ -25,18 +25,18 @@
                 DaggerDaemonComponent.builder().daemonModule(new DaemonModule(settings)).build();
     }
 
-    /** Starts all services; callers are served as soon as the configuration is known. */
+    /** Starts all services. Requests are served as soon as the configuration is known. */
     public void start() throws ServiceException {
-        component.heirService();
+        component.successorService();
         kernel.register(component.controlThread());
         kernel.register(component.peerNetwork());
         kernel.register(component.endpointDirectory());
         kernel.register(component.platformWatch());
         kernel.register(component.callerServer());
         kernel.register(component.probeService());
-        kernel.register(component.rosterKeeper());
-        kernel.register(component.shareKeeper());
-        kernel.register(component.orderKeeper());
+        kernel.register(component.rosterService());
+        kernel.register(component.shareService());
+        kernel.register(component.loadOrderService());
         kernel.register(component.monitorServer());
         kernel.start();
         EventLog.info(
@@ -49,7 +49,7 @@
                         + component.peerNetwork().address());
     }
 
-    /** Stops gracefully: no request is cut while the drain limit lasts. */
+    /** Stops gracefully: requests in progress may end within the time limit for draining. */
     public void stop() throws InterruptedException {
         if (stopped.compareAndSet(false, true)) {
             component.drain().run();
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Stops at once, as a crash would. */
+    /** Stops immediately, without draining, as a crash would. */
     public void kill() {
         if (stopped.compareAndSet(false, true)) {
             kernel.stop();
@@ -81,22 +81,22 @@
         return component.monitorServer().address();
     }
 
-    /** Whether requests are served now. */
+    /** Returns whether this VM serves requests now. */
     public boolean isServing() {
         return component.controlState().view().isFresh(System.nanoTime());
     }
 
-    /** What the traffic threads see now. */
+    /** Returns the control state that the traffic threads currently use. */
     public ControlView view() {
         return component.controlState().view();
     }
 
-    /** Whether the platform answered the last call. */
+    /** Returns whether the platform answered the last call. */
     public boolean isPlatformUp() {
         return component.platformWatch().isReachable();
     }
 
-    /** Equal for daemons that have the same configuration in force. */
+    /** Returns the digest of the configuration; equal for daemons with equal configurations. */
     public long digest() {
         return component
                 .controlThread()
@@ -104,12 +104,12 @@
                 .join();
     }
 
-    /** The endpoints that answer this VM. */
+    /** Returns the number of endpoints that respond to this VM. */
     public long liveEndpoints() {
         return component.endpointDirectory().all().stream().filter(Endpoint::isLive).count();
     }
 
-    /** A service by its name, as the services themselves find each other. */
+    /** Returns the kernel, in which services are looked up by name. */
     public Kernel kernel() {
         return kernel;
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/DaemonComponent.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/DaemonComponent.java
@@ -3,9 +3,9 @@
 import dagger.Component;
 import javax.inject.Singleton;
 import org.bronzelug.daemon.caller.CallerServer;
-import org.bronzelug.daemon.claim.OrderKeeper;
-import org.bronzelug.daemon.claim.RosterKeeper;
-import org.bronzelug.daemon.claim.ShareKeeper;
+import org.bronzelug.daemon.claim.LoadOrderService;
+import org.bronzelug.daemon.claim.RosterService;
+import org.bronzelug.daemon.claim.ShareService;
 import org.bronzelug.daemon.claim.SuccessorService;
 import org.bronzelug.daemon.control.ControlState;
 import org.bronzelug.daemon.control.ControlThread;
@@ -15,7 +15,7 @@
 import org.bronzelug.daemon.peer.PeerNetwork;
 import org.bronzelug.daemon.runner.EndpointDirectory;
 
-/** The daemon's parts, wired by Dagger. */
+/** The daemon's object graph, built by Dagger. */
 @Singleton
 @Component(modules = DaemonModule.class)
 interface DaemonComponent {
@@ -33,13 +33,13 @@
 
     CallerServer callerServer();
 
-    SuccessorService heirService();
+    SuccessorService successorService();
 
-    RosterKeeper rosterKeeper();
+    RosterService rosterService();
 
-    ShareKeeper shareKeeper();
+    ShareService shareService();
 
-    OrderKeeper orderKeeper();
+    LoadOrderService loadOrderService();
 
     MonitorServer monitorServer();
 
--- a/daemon/src/main/java/org/bronzelug/daemon/DaemonMain.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/DaemonMain.java
@@ -11,15 +11,15 @@
 import org.bronzelug.daemon.settings.SettingsReader;
 import org.bronzelug.kernel.ServiceException;
 
-/** The daemon as a program. Stateless. */
+/** The daemon's command line. Stateless. */
 public final class DaemonMain {
     private static final int USAGE_ERROR = 64;
-    private static final int CANNOT_START = 69;
+    private static final int START_ERROR = 69;
     private static final int CONFIGURATION_ERROR = 78;
 
     private DaemonMain() {}
 
-    /** Reads the settings and runs until the process is told to stop. */
+    /** Reads the settings and runs the daemon until the process receives a signal to stop. */
     public static void main(String[] arguments) {
         ArgumentParser parser =
                 ArgumentParsers.newFor("bronzelugd")
@@ -40,15 +40,15 @@
                 return;
             }
             run(settings);
-        } catch (ArgumentParserException wrong) {
-            parser.handleError(wrong);
+        } catch (ArgumentParserException invalid) {
+            parser.handleError(invalid);
             System.exit(USAGE_ERROR);
-        } catch (SettingsException wrong) {
-            System.err.println(wrong.getMessage());
+        } catch (SettingsException invalid) {
+            System.err.println(invalid.getMessage());
             System.exit(CONFIGURATION_ERROR);
         } catch (ServiceException failed) {
             System.err.println(failed.getMessage());
-            System.exit(CANNOT_START);
+            System.exit(START_ERROR);
         }
     }
 
@@ -61,7 +61,7 @@
     private static void stop(Daemon daemon) {
         try {
             daemon.stop();
-            // A process ended by a signal would report 143, as if it had been killed.
+            // Without this, a process stopped by a signal would exit with 143, as if killed.
             Runtime.getRuntime().halt(0);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
--- a/daemon/src/main/java/org/bronzelug/daemon/DaemonModule.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/DaemonModule.java
@@ -11,7 +11,7 @@
 import org.bronzelug.daemon.platform.PlatformClient;
 import org.bronzelug.daemon.settings.Settings;
 
-/** What Dagger can't construct by itself. Immutable. */
+/** Provides the objects that Dagger cannot construct by itself. Immutable. */
 @Module
 final class DaemonModule {
     private static final int INCARNATION_BYTES = 8;
--- a/daemon/src/main/java/org/bronzelug/daemon/Drain.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/Drain.java
@@ -13,7 +13,7 @@
 import org.bronzelug.daemon.action.ActionBook;
 import org.bronzelug.daemon.action.HandOverMessages;
 import org.bronzelug.daemon.claim.ReleasedShare;
-import org.bronzelug.daemon.claim.ShareKeeper;
+import org.bronzelug.daemon.claim.ShareService;
 import org.bronzelug.daemon.control.ControlState;
 import org.bronzelug.daemon.control.ControlThread;
 import org.bronzelug.daemon.control.ControlView;
@@ -23,24 +23,25 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * The graceful stop: callers are steered away, open requests end, and an heir takes over what only
- * this VM knows.
+ * The graceful shutdown: steers callers to other VMs, waits until the requests in progress have
+ * ended, and transfers the state that only this VM has (action records and rate shares) to a
+ * successor.
  *
- * <p>The order matters. New requests are refused before the open ones are counted, so the last one
- * ends before the hand-over; and the shares and records are released before they are sent, so this
- * VM and its heir never both use them. Called by one thread.
+ * <p>The order of the steps matters. The VM rejects new requests before it waits for those in
+ * progress, so the last request ends before the transfer. It stops using the shares and records
+ * before it sends them, so this VM and its successor never both use them. Called by one thread.
  */
 @Singleton
 public final class Drain {
-    private static final long HAND_OVER_MILLIS = 1_500;
-    private static final int RECORDS_A_MESSAGE = 500;
+    private static final long TRANSFER_TIMEOUT_MILLIS = 1_500;
+    private static final int RECORDS_PER_MESSAGE = 500;
 
     private final Settings settings;
     private final ControlThread control;
     private final ControlState state;
     private final DrainGate gate;
     private final ActionBook actions;
-    private final ShareKeeper shares;
+    private final ShareService shares;
     private final PeerNetwork peers;
 
     @Inject
@@ -50,7 +51,7 @@
             ControlState state,
             DrainGate gate,
             ActionBook actions,
-            ShareKeeper shares,
+            ShareService shares,
             PeerNetwork peers) {
         this.settings = settings;
         this.control = control;
@@ -61,7 +62,7 @@
         this.peers = peers;
     }
 
-    /** Drains this VM; afterwards nothing is lost by stopping it. */
+    /** Drains this VM. Afterwards it can stop without losing requests or state. */
     public void run() throws InterruptedException {
         EventLog.info(LogEvent.DAEMON_DRAINING, "open requests: " + gate.open());
         control.run(state::startDraining);
@@ -69,21 +70,21 @@
             TimeUnit.MILLISECONDS.sleep(settings.limits().steerMillis());
         }
         gate.close();
-        long limit = TimeUnit.MILLISECONDS.toNanos(settings.limits().drainMillis());
-        if (!gate.awaitIdle(limit)) {
+        long drainLimitNanos = TimeUnit.MILLISECONDS.toNanos(settings.limits().drainMillis());
+        if (!gate.awaitIdle(drainLimitNanos)) {
             EventLog.warn(LogEvent.DRAIN_INCOMPLETE, "open requests: " + gate.open());
         }
-        handOver();
+        transferToSuccessor();
     }
 
-    private void handOver() {
-        List<ActionRecord> records = actions.closeAndHandOver();
+    private void transferToSuccessor() {
+        List<ActionRecord> records = actions.closeForTransfer();
         List<ReleasedShare> released = shares.releaseAll();
-        for (String address : heirs()) {
+        for (String address : successorCandidates()) {
             if (send(address, records, released)) {
                 EventLog.info(
                         LogEvent.HANDED_OVER,
-                        "heir "
+                        "successor "
                                 + address
                                 + ", records: "
                                 + records.size()
@@ -96,10 +97,11 @@
     }
 
     /**
-     * The VMs to try, those of the own availability zone first. After one may have taken the
-     * hand-over without our seeing its answer, the next must not be tried: there must be one heir.
+     * Returns the VM to transfer to, or an empty list if none is available; a VM of the same
+     * availability zone is preferred. Only one VM is tried: it may have received the transfer even
+     * if its answer is lost, and there must not be two successors.
      */
-    private List<String> heirs() {
+    private List<String> successorCandidates() {
         List<ControlView.PeerView> candidates = new ArrayList<>();
         for (ControlView.PeerView peer : state.view().peers().values()) {
             if (peer.live() && !peer.draining()) {
@@ -115,7 +117,7 @@
     private boolean send(String address, List<ActionRecord> records, List<ReleasedShare> released) {
         int sent = 0;
         do {
-            int end = Math.min(records.size(), sent + RECORDS_A_MESSAGE);
+            int end = Math.min(records.size(), sent + RECORDS_PER_MESSAGE);
             boolean last = end == records.size();
             Envelope.Builder message =
                     HandOverMessages.toMessage(
@@ -131,7 +133,7 @@
     }
 
     private boolean exchange(String address, Envelope.Builder message) {
-        return peers.exchange(address, message, HAND_OVER_MILLIS)
+        return peers.exchange(address, message, TRANSFER_TIMEOUT_MILLIS)
                 .handle((envelope, failure) -> failure == null)
                 .join();
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/action/ActionAnswers.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/action/ActionAnswers.java
@@ -7,7 +7,7 @@
 import org.bronzelug.core.action.ActionOutcome;
 import org.bronzelug.daemon.generate.ProblemCode;
 
-/** Translates between outcomes and answers. Stateless and thread-safe. */
+/** Translates between action outcomes and {@link RunActionAnswer}s. Stateless and thread-safe. */
 final class ActionAnswers {
     private static final long RETRY_AFTER_MILLIS = 500;
 
@@ -20,7 +20,7 @@
                             .setExecution(Execution.RAN)
                             .setBody(ByteString.copyFrom(ran.answer()))
                             .setRepeated(repeated);
-            case ActionOutcome.InDoubt doubt -> inDoubt(doubt.reason(), 0);
+            case ActionOutcome.InDoubt inDoubt -> inDoubt(inDoubt.reason(), 0);
             case ActionOutcome.NotRun notRun -> notRun(notRun.reason());
         };
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/action/ActionBook.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/action/ActionBook.java
@@ -16,7 +16,7 @@
 import org.bronzelug.core.action.OwnershipPeriod;
 import org.bronzelug.core.membership.MemberIdentity;
 
-/** The action ledger, shared by the traffic threads under one lock. Thread-safe. */
+/** The VM's {@link ActionLedger}, shared by the traffic threads under one lock. Thread-safe. */
 @Singleton
 public final class ActionBook {
     private final ActionLedger ledger;
@@ -27,7 +27,7 @@
         ledger = new ActionLedger(self, System.nanoTime());
     }
 
-    /** The prefix for ids given out now. */
+    /** Returns the prefix for action ids issued now. */
     public synchronized String prefix() {
         return ledger.prefix(System.nanoTime());
     }
@@ -40,21 +40,21 @@
         return decision;
     }
 
-    /** The outcome of a call that runs now, later. */
-    public synchronized CompletableFuture<ActionOutcome> awaitOutcome(ActionId id) {
+    /** Returns a future that completes with the outcome of a call in progress. */
+    public synchronized CompletableFuture<ActionOutcome> futureOutcome(ActionId id) {
         CompletableFuture<ActionOutcome> future = running.get(id);
         if (future != null) {
             return future;
         }
-        Optional<ActionOutcome> known = ledger.outcome(id);
-        return known.map(CompletableFuture::completedFuture)
+        Optional<ActionOutcome> recorded = ledger.outcome(id);
+        return recorded.map(CompletableFuture::completedFuture)
                 .orElseGet(
                         () ->
                                 CompletableFuture.completedFuture(
                                         new ActionOutcome.InDoubt("its record is gone")));
     }
 
-    /** Ends a run, and tells those who wait for it. */
+    /** Records the outcome of a call and completes the future of those that wait for it. */
     public void finish(ActionId id, ActionOutcome outcome) {
         CompletableFuture<ActionOutcome> future;
         synchronized (this) {
@@ -66,25 +66,27 @@
         }
     }
 
-    /** Begins no further call, and returns all records for the heir. */
-    public synchronized List<ActionRecord> closeAndHandOver() {
+    /** Stops accepting new calls and returns all records for the successor. */
+    public synchronized List<ActionRecord> closeForTransfer() {
         ledger.close();
         return ledger.recordsForSuccessor();
     }
 
-    /** Takes over records of VMs that stop: see {@link ActionLedger#adopt}. */
-    public synchronized void adopt(
-            Collection<OwnershipPeriod> from, List<ActionRecord> records, boolean complete) {
-        ledger.adopt(from, records, complete, System.nanoTime());
+    /** Takes ownership of the action ids of VMs that stop: see {@link ActionLedger#adopt}. */
+    public synchronized void takeOwnership(
+            Collection<OwnershipPeriod> previousOwners,
+            List<ActionRecord> records,
+            boolean complete) {
+        ledger.adopt(previousOwners, records, complete, System.nanoTime());
     }
 
-    /** The incarnations that this VM answers for, its own first. */
+    /** Returns the incarnations whose action ids this VM owns, its own incarnation first. */
     public synchronized List<OwnershipPeriod> ownershipPeriods() {
         return ledger.ownershipPeriods(System.nanoTime());
     }
 
-    /** The incarnations that this VM answers for, besides its own. */
-    public List<MemberIdentity> inheritedFrom() {
+    /** Returns the incarnations whose action ids were transferred to this VM. */
+    public List<MemberIdentity> previousOwners() {
         return ownershipPeriods().stream().skip(1).map(OwnershipPeriod::identity).toList();
     }
 
--- a/daemon/src/main/java/org/bronzelug/daemon/action/ActionService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/action/ActionService.java
@@ -41,49 +41,50 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * Runs calls of application runners.
+ * Runs calls to application runners.
  *
- * <p>A non-idempotent call runs only here if its id names this VM, else it is forwarded to its
- * home. Blocking; called on traffic threads. Thread-safe.
+ * <p>A non-idempotent call runs here only if this VM owns its action id; otherwise it is forwarded
+ * to the owner. Blocking; called on traffic threads. Thread-safe.
  */
 @Singleton
 public final class ActionService {
-    private static final int IDEMPOTENT_ATTEMPTS = 4;
-    private static final long LOOK_AGAIN_MILLIS = 1_000;
-    private static final long ANSWER_MARGIN_MILLIS = 50;
+    private static final int MAXIMUM_ATTEMPTS = 4;
+    private static final long RETRY_AFTER_MILLIS = 1_000;
+    private static final long FORWARD_RESPONSE_MARGIN_MILLIS = 50;
 
     private final Settings settings;
     private final ControlState state;
-    private final ActionBook book;
+    private final ActionBook ledger;
     private final EndpointDirectory directory;
     private final RunnerClient client;
     private final PeerNetwork peers;
     private final DrainGate gate;
-    private final DaemonMetrics measures;
-    private final ExecutorService traffic = Executors.newVirtualThreadPerTaskExecutor();
+    private final DaemonMetrics metrics;
+    private final ExecutorService forwardedCallExecutor =
+            Executors.newVirtualThreadPerTaskExecutor();
 
     @Inject
     public ActionService(
             Settings settings,
             ControlState state,
-            ActionBook book,
+            ActionBook ledger,
             EndpointDirectory directory,
             RunnerClient client,
             PeerNetwork peers,
             DrainGate gate,
-            DaemonMetrics measures) {
+            DaemonMetrics metrics) {
         this.settings = settings;
         this.state = state;
-        this.book = book;
+        this.ledger = ledger;
         this.directory = directory;
         this.client = client;
         this.peers = peers;
         this.gate = gate;
-        this.measures = measures;
-        peers.handle(Envelope.BodyCase.FORWARD_ACTION, this::answerForward);
+        this.metrics = metrics;
+        peers.handle(Envelope.BodyCase.FORWARD_ACTION, this::handleForward);
     }
 
-    /** Runs a call of a team whose key was checked. */
+    /** Runs a call of an authenticated team. */
     public RunActionAnswer run(String team, RunActionRequest request)
             throws RejectionException, InterruptedException {
         PoolObject pool = pool(request.getPool());
@@ -104,7 +105,7 @@
                                                 0));
         RunActionAnswer answer = runOnce(team, id, pool, request);
         if (answer.getExecution() == Execution.IN_DOUBT) {
-            measures.inDoubt(team);
+            metrics.inDoubt(team);
         }
         return answer;
     }
@@ -124,12 +125,12 @@
     private RunActionAnswer runOnce(
             String team, ActionId id, PoolObject pool, RunActionRequest request)
             throws InterruptedException {
-        return switch (book.begin(id, team, digest(request))) {
+        return switch (ledger.begin(id, team, digest(request))) {
             case ActionDecision.Run run -> execute(id, pool, request);
             case ActionDecision.Await await -> await(id, request);
             case ActionDecision.Repeat repeat -> ran(repeat.answer(), true);
-            case ActionDecision.StayInDoubt doubt -> inDoubt(doubt.reason(), 0);
-            case ActionDecision.RejectNotRun refused -> notRun(refused.reason());
+            case ActionDecision.StayInDoubt inDoubt -> inDoubt(inDoubt.reason(), 0);
+            case ActionDecision.RejectNotRun rejected -> notRun(rejected.reason());
             case ActionDecision.RejectMismatch mismatch -> mismatch();
             case ActionDecision.ForwardToOwner forward -> forward(team, id, request);
         };
@@ -139,59 +140,60 @@
         ActionOutcome outcome = new ActionOutcome.InDoubt("the daemon failed while it ran");
         String runner = "";
         try {
-            Run run = callEndpoints(id, pool, request);
-            outcome = run.outcome;
-            runner = run.runner;
+            CallResult result = callEndpoints(id, pool, request);
+            outcome = result.outcome;
+            runner = result.runner;
         } finally {
-            book.finish(id, outcome);
+            ledger.finish(id, outcome);
         }
-        if (outcome instanceof ActionOutcome.InDoubt doubt) {
-            EventLog.warn(LogEvent.ACTION_IN_DOUBT, "action " + id + ", " + doubt.reason());
+        if (outcome instanceof ActionOutcome.InDoubt inDoubt) {
+            EventLog.warn(LogEvent.ACTION_IN_DOUBT, "action " + id + ", " + inDoubt.reason());
         }
         return toAnswer(outcome, false).toBuilder().setRunner(runner).build();
     }
 
-    /** An outcome, and the endpoint it came from. */
-    private record Run(ActionOutcome outcome, String runner) {}
+    /** The outcome of a call and the name of the endpoint that it ran at. */
+    private record CallResult(ActionOutcome outcome, String runner) {}
 
     /**
-     * Calls one endpoint after another, but goes on to the next only while the call certainly had
-     * no effect; or, where the pool's endpoints refuse a second run of an id by themselves, asks
-     * the same endpoint again.
+     * Calls the endpoints one after another, the least loaded first. The next endpoint is called
+     * only if the call certainly did not run. If a call may have run and the pool's endpoints
+     * deduplicate action ids, the call is retried at the same endpoint.
      */
-    private Run callEndpoints(ActionId id, PoolObject pool, RunActionRequest request) {
-        long end = deadline(request);
+    private CallResult callEndpoints(ActionId id, PoolObject pool, RunActionRequest request) {
+        long deadlineNanos = deadline(request);
         String reason = "no usable endpoint";
-        for (Endpoint endpoint : byLoad(pool.getPool())) {
-            int tries = pool.getDeduplicates() ? IDEMPOTENT_ATTEMPTS : 1;
-            for (int attempt = 1; attempt <= tries; attempt++) {
+        for (Endpoint endpoint : endpointsByLoad(pool.getPool())) {
+            int maximumAttempts = pool.getDeduplicates() ? MAXIMUM_ATTEMPTS : 1;
+            for (int attempt = 1; attempt <= maximumAttempts; attempt++) {
                 try {
-                    byte[] answer = call(endpoint, Optional.of(id.toString()), request, end);
-                    return new Run(new ActionOutcome.Ran(answer), endpoint.name());
+                    byte[] response =
+                            call(endpoint, Optional.of(id.toString()), request, deadlineNanos);
+                    return new CallResult(new ActionOutcome.Ran(response), endpoint.name());
                 } catch (RunnerException failed) {
                     reason = String.valueOf(failed.getMessage());
                     boolean firstCall = attempt == 1;
                     if (failed.isNotRun() && firstCall) {
                         break;
                     }
-                    if (attempt == tries || System.nanoTime() > end) {
-                        return new Run(new ActionOutcome.InDoubt(reason), endpoint.name());
+                    if (attempt == maximumAttempts || System.nanoTime() > deadlineNanos) {
+                        return new CallResult(new ActionOutcome.InDoubt(reason), endpoint.name());
                     }
                 }
             }
         }
-        return new Run(new ActionOutcome.NotRun(reason), "");
+        return new CallResult(new ActionOutcome.NotRun(reason), "");
     }
 
     private RunActionAnswer runIdempotent(PoolObject pool, RunActionRequest request)
             throws RejectionException {
-        long end = deadline(request);
+        long deadlineNanos = deadline(request);
         String reason = "no usable endpoint";
-        for (int attempt = 0; attempt < IDEMPOTENT_ATTEMPTS; attempt++) {
-            for (Endpoint endpoint : byLoad(pool.getPool())) {
+        for (int attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
+            for (Endpoint endpoint : endpointsByLoad(pool.getPool())) {
                 try {
-                    byte[] answer = call(endpoint, Optional.empty(), request, end);
-                    return ran(answer, false).toBuilder().setRunner(endpoint.name()).build();
+                    byte[] response = call(endpoint, Optional.empty(), request, deadlineNanos);
+                    return ran(response, false).toBuilder().setRunner(endpoint.name()).build();
                 } catch (RunnerException failed) {
                     reason = String.valueOf(failed.getMessage());
                 }
@@ -201,13 +203,13 @@
                 ProblemCode.NO_ENDPOINT,
                 "no endpoint of pool " + pool.getPool() + " answered: " + reason,
                 "come back later",
-                LOOK_AGAIN_MILLIS);
+                RETRY_AFTER_MILLIS);
     }
 
     private byte[] call(
-            Endpoint endpoint, Optional<String> id, RunActionRequest request, long endNanos)
+            Endpoint endpoint, Optional<String> id, RunActionRequest request, long deadlineNanos)
             throws RunnerException {
-        long left = TimeUnit.NANOSECONDS.toMillis(endNanos - System.nanoTime());
+        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
         endpoint.begin(0);
         try {
             return client.act(
@@ -215,13 +217,13 @@
                     request.getMethod(),
                     id,
                     request.getBody().toByteArray(),
-                    Math.max(1, left));
+                    Math.max(1, remainingMillis));
         } finally {
             endpoint.end();
         }
     }
 
-    private List<Endpoint> byLoad(String pool) {
+    private List<Endpoint> endpointsByLoad(String pool) {
         return directory.usable(pool).stream()
                 .sorted(Comparator.comparingInt(Endpoint::inFlight))
                 .toList();
@@ -230,12 +232,12 @@
     private RunActionAnswer await(ActionId id, RunActionRequest request)
             throws InterruptedException {
         try {
-            long left = deadline(request) - System.nanoTime();
+            long remainingNanos = deadline(request) - System.nanoTime();
             ActionOutcome outcome =
-                    book.awaitOutcome(id).get(Math.max(1, left), TimeUnit.NANOSECONDS);
+                    ledger.futureOutcome(id).get(Math.max(1, remainingNanos), TimeUnit.NANOSECONDS);
             return toAnswer(outcome, true);
         } catch (TimeoutException stillRunning) {
-            return inDoubt("the call still runs", LOOK_AGAIN_MILLIS);
+            return inDoubt("the call still runs", RETRY_AFTER_MILLIS);
         } catch (ExecutionException impossible) {
             throw new IllegalStateException(impossible);
         }
@@ -248,34 +250,34 @@
         }
         ForwardAction forward =
                 ForwardAction.newBuilder().setTeam(team).setRequest(request).build();
-        long left = TimeUnit.NANOSECONDS.toMillis(deadline(request) - System.nanoTime());
+        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadline(request) - System.nanoTime());
         return peers.exchange(
                         address.get(),
                         Envelope.newBuilder().setForwardAction(forward),
-                        left + ANSWER_MARGIN_MILLIS)
+                        remainingMillis + FORWARD_RESPONSE_MARGIN_MILLIS)
                 .handle(
                         (envelope, failure) ->
                                 failure == null
                                         ? envelope.getActionAnswer()
                                         : inDoubt(
                                                 "the VM that alone may run this id does not answer",
-                                                LOOK_AGAIN_MILLIS))
+                                                RETRY_AFTER_MILLIS))
                 .join();
     }
 
-    private CompletableFuture<Envelope.Builder> answerForward(Envelope envelope) {
+    private CompletableFuture<Envelope.Builder> handleForward(Envelope envelope) {
         ForwardAction forward = envelope.getForwardAction();
-        return CompletableFuture.supplyAsync(() -> runForwarded(forward), traffic);
+        return CompletableFuture.supplyAsync(() -> runForwarded(forward), forwardedCallExecutor);
     }
 
     private Envelope.Builder runForwarded(ForwardAction forward) {
         RunActionRequest request = forward.getRequest();
         RunActionAnswer answer;
-        // Counted like a caller's own request: a graceful stop must not hand the records over
-        // while a forwarded call runs.
+        // Counts a forwarded call like a request of a caller: a graceful shutdown must not transfer
+        // the action records to the successor while the call runs.
         if (!gate.enter()) {
             return Envelope.newBuilder()
-                    .setActionAnswer(inDoubt("its VM is stopping", LOOK_AGAIN_MILLIS));
+                    .setActionAnswer(inDoubt("its VM is stopping", RETRY_AFTER_MILLIS));
         }
         try {
             Optional<ActionId> id = ActionId.parse(request.getActionId());
@@ -283,15 +285,15 @@
                     id.isPresent()
                             ? runOnce(forward.getTeam(), id.get(), pool(request.getPool()), request)
                             : notRun("the id is malformed");
-        } catch (RejectionException refused) {
+        } catch (RejectionException rejection) {
             answer =
                     RunActionAnswer.newBuilder()
-                            .setExecution(refused.problem().getExecution())
-                            .setProblem(refused.problem())
+                            .setExecution(rejection.problem().getExecution())
+                            .setProblem(rejection.problem())
                             .build();
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            answer = inDoubt("the VM that alone may run this id is stopping", LOOK_AGAIN_MILLIS);
+            answer = inDoubt("the VM that alone may run this id is stopping", RETRY_AFTER_MILLIS);
         } finally {
             gate.leave();
         }
@@ -309,12 +311,12 @@
     private static String digest(RunActionRequest request) {
         try {
             MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
-            String head = request.getPool() + "\u0000" + request.getMethod() + "\u0000";
-            sha256.update(head.getBytes(StandardCharsets.UTF_8));
+            String prefix = request.getPool() + "\u0000" + request.getMethod() + "\u0000";
+            sha256.update(prefix.getBytes(StandardCharsets.UTF_8));
             sha256.update(request.getBody().toByteArray());
             return HexFormat.of().formatHex(sha256.digest());
         } catch (NoSuchAlgorithmException missing) {
-            throw new IllegalStateException("every Java platform has SHA-256", missing);
+            throw new IllegalStateException("the Java runtime has no SHA-256", missing);
         }
     }
 
@@ -322,10 +324,10 @@
         return ActionAnswers.of(outcome, repeated).setVm(settings.vm()).build();
     }
 
-    private RunActionAnswer ran(byte[] answer, boolean repeated) {
+    private RunActionAnswer ran(byte[] response, boolean repeated) {
         return RunActionAnswer.newBuilder()
                 .setExecution(Execution.RAN)
-                .setBody(ByteString.copyFrom(answer))
+                .setBody(ByteString.copyFrom(response))
                 .setVm(settings.vm())
                 .setRepeated(repeated)
                 .build();
--- a/daemon/src/main/java/org/bronzelug/daemon/action/HandOverMessages.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/action/HandOverMessages.java
@@ -14,44 +14,48 @@
 import org.bronzelug.core.membership.MemberIdentity;
 import org.bronzelug.daemon.claim.ReleasedShare;
 
-/** Translates what a stopping VM hands to its heir. Stateless and thread-safe. */
+/**
+ * Translates the state that a stopping VM transfers to its successor to and from {@link HandOver}
+ * messages. Stateless and thread-safe.
+ */
 public final class HandOverMessages {
     private HandOverMessages() {}
 
     /**
-     * One part of a hand-over.
+     * Returns one message of a transfer, which may take several.
      *
-     * @param formers the sender and the incarnations that it was the heir of
-     * @param shares the released ones; present in the last part only, which completes it
+     * @param previousOwners the sender and the incarnations whose successor it was
+     * @param shares the released shares; present only in the last message, which completes the
+     *     transfer
      */
     public static Envelope.Builder toMessage(
-            List<OwnershipPeriod> formers,
+            List<OwnershipPeriod> previousOwners,
             List<ActionRecord> records,
             Optional<List<ReleasedShare>> shares) {
         HandOver.Builder message = HandOver.newBuilder().setComplete(shares.isPresent());
-        formers.forEach(former -> message.addFormers(toMessage(former)));
+        previousOwners.forEach(owner -> message.addFormers(toMessage(owner)));
         records.forEach(record -> message.addRecords(toMessage(record)));
         shares.ifPresent(
                 released -> released.forEach(share -> message.addShares(toMessage(share))));
         return Envelope.newBuilder().setHandOver(message);
     }
 
-    private static Former toMessage(OwnershipPeriod former) {
+    private static Former toMessage(OwnershipPeriod previousOwner) {
         return Former.newBuilder()
-                .setVm(former.identity().vm())
-                .setIncarnation(former.identity().incarnation())
-                .setPeriod(former.period())
+                .setVm(previousOwner.identity().vm())
+                .setIncarnation(previousOwner.identity().incarnation())
+                .setPeriod(previousOwner.period())
                 .build();
     }
 
-    /** The VM that stops, and those that it was itself the heir of. */
-    public static List<OwnershipPeriod> formers(HandOver message) {
-        List<OwnershipPeriod> formers = new ArrayList<>();
+    /** Returns the sender, which is stopping, and the incarnations whose successor it was. */
+    public static List<OwnershipPeriod> previousOwners(HandOver message) {
+        List<OwnershipPeriod> previousOwners = new ArrayList<>();
         for (Former former : message.getFormersList()) {
             MemberIdentity identity = new MemberIdentity(former.getVm(), former.getIncarnation());
-            formers.add(new OwnershipPeriod(identity, former.getPeriod()));
+            previousOwners.add(new OwnershipPeriod(identity, former.getPeriod()));
         }
-        return formers;
+        return previousOwners;
     }
 
     private static ShareLevels toMessage(ReleasedShare share) {
@@ -60,7 +64,7 @@
                 .setVersion(share.version())
                 .setHolderVm(share.holder().vm())
                 .setHolderIncarnation(share.holder().incarnation())
-                .putAllTokens(share.levels())
+                .putAllTokens(share.tokensByTeam())
                 .build();
     }
 
@@ -75,7 +79,7 @@
                 .build();
     }
 
-    /** The records of a message. */
+    /** Returns the action records of a message. */
     public static List<ActionRecord> records(HandOver message) {
         List<ActionRecord> records = new ArrayList<>();
         for (org.bronzelug.api.peer.ActionRecord record : message.getRecordsList()) {
--- a/daemon/src/main/java/org/bronzelug/daemon/action/package-info.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/action/package-info.java
@@ -1,2 +1,2 @@
-/** Calls of application runners: non-idempotent ones run at most once (DESIGN.md "Actions"). */
+/** Calls to application runners. Non-idempotent calls run at most once (DESIGN.md "Actions"). */
 package org.bronzelug.daemon.action;
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/ClaimAcquirer.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/ClaimAcquirer.java
@@ -14,9 +14,14 @@
 import org.bronzelug.daemon.control.ControlThread;
 
 /**
- * Takes a claim over in its three steps: commit, note, have a majority confirm.
+ * Acquires claims. A claim is the exclusive right of one VM at a time, without expiry, to use a
+ * rate share or to order a pool's runners to load weights. It is an object on the platform that
+ * names its holder; the object's version is the fencing token.
  *
- * <p>Blocking; called on threads of their own, one at a time for each claim. Thread-safe.
+ * <p>An acquisition has three steps: commit the object with this VM as the holder, record the
+ * committed version in the control state, and have a majority of the VMs confirm it.
+ *
+ * <p>Blocking; called on separate threads, at most one at a time for each claim. Thread-safe.
  */
 @Singleton
 final class ClaimAcquirer {
@@ -35,57 +40,59 @@
     }
 
     /**
-     * A claim to take.
+     * A claim to acquire.
      *
-     * @param key of its object
-     * @param present as known here; empty where nobody ever held it
-     * @param value that names this VM
-     * @param isOurs recognises this value when it is read back
-     * @param taken told of the version committed, on the control thread
-     * @param confirmed told of the version that a majority knows, on the control thread
+     * @param key the key of the claim's object
+     * @param current the claim as known to this VM; empty if no VM has ever held it
+     * @param value the object's new value, which names this VM as the holder
+     * @param isOwnValue recognizes the new value when it is read back from the platform
+     * @param onCommitted called on the control thread with the committed version
+     * @param onConfirmed called on the control thread with the version once a majority of the VMs
+     *     has confirmed it
      */
     record Attempt(
             String key,
-            Optional<Catalog.Claim> present,
+            Optional<Catalog.Claim> current,
             byte[] value,
-            Predicate<byte[]> isOurs,
-            LongConsumer taken,
-            LongConsumer confirmed) {}
+            Predicate<byte[]> isOwnValue,
+            LongConsumer onCommitted,
+            LongConsumer onConfirmed) {}
 
-    /** Takes the claim, or has it confirmed where this VM is its committed holder already. */
-    void take(Attempt attempt) {
-        boolean own =
-                attempt.present().filter(held -> held.holder().equals(state.self())).isPresent();
-        Optional<VersionedObject> object = own ? held(attempt.key()) : write(attempt);
+    /** Acquires the claim; if this VM is its committed holder already, only has it confirmed. */
+    void acquire(Attempt attempt) {
+        boolean heldBySelf =
+                attempt.current().filter(claim -> claim.holder().equals(state.self())).isPresent();
+        Optional<VersionedObject> object =
+                heldBySelf ? knownObject(attempt.key()) : commit(attempt);
         if (object.isEmpty()) {
             return;
         }
         long version = object.get().version();
-        if (!own) {
-            onControlThread(attempt.taken(), version);
+        if (!heldBySelf) {
+            onControlThread(attempt.onCommitted(), version);
         }
         if (announcer.announce(List.of(object.get()))) {
-            onControlThread(attempt.confirmed(), version);
+            onControlThread(attempt.onConfirmed(), version);
         }
     }
 
-    private Optional<VersionedObject> held(String key) {
+    private Optional<VersionedObject> knownObject(String key) {
         return control.ask(() -> state.configuration().object(key)).join();
     }
 
-    private Optional<VersionedObject> write(Attempt attempt) {
-        long expected = attempt.present().map(Catalog.Claim::version).orElse(0L);
+    private Optional<VersionedObject> commit(Attempt attempt) {
+        long expectedVersion = attempt.current().map(Catalog.Claim::version).orElse(0L);
         ObjectWriter.Outcome outcome =
-                writer.write(attempt.key(), expected, attempt.value(), attempt.isOurs());
+                writer.write(attempt.key(), expectedVersion, attempt.value(), attempt.isOwnValue());
         return outcome instanceof ObjectWriter.Outcome.Committed committed
                 ? Optional.of(committed.object())
                 : Optional.empty();
     }
 
-    private void onControlThread(LongConsumer told, long version) {
+    private void onControlThread(LongConsumer callback, long version) {
         control.ask(
                         () -> {
-                            told.accept(version);
+                            callback.accept(version);
                             return version;
                         })
                 .join();
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/OrderKeeper.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/LoadOrderService.java
@@ -29,41 +29,43 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * Orders a pool's runners to load the weights that the configuration names.
+ * Orders the runners of each model pool to load the target version of the weights, which the
+ * configuration publishes.
  *
- * <p>One VM holds a pool's orders by a claim; the claim's version is the fencing number. Runners
- * that ignore fencing are safe as well: the next holder waits until the former one has surely
- * stopped. Checks run on the control thread, orders on threads of their own.
+ * <p>One VM at a time orders the runners of a pool: the holder of the pool's claim, whose version
+ * is the fencing token. Runners that ignore the fencing token are safe as well, because the next
+ * holder waits until the previous one has certainly stopped. Checks run on the control thread,
+ * orders on threads of their own.
  */
 @Singleton
-public final class OrderKeeper implements Service {
-    /** Under which the kernel knows this service. */
+public final class LoadOrderService implements Service {
+    /** The name under which this service is registered with the kernel. */
     public static final String NAME = "orders";
 
-    private static final long CHECK_MILLIS = 200;
+    private static final long CHECK_INTERVAL_MILLIS = 200;
 
     private final ControlThread control;
     private final ControlState state;
-    private final PlatformWatch watch;
-    private final ClaimAcquirer taker;
+    private final PlatformWatch platformWatch;
+    private final ClaimAcquirer claimAcquirer;
     private final EndpointDirectory directory;
     private final RunnerClient client;
     private final Map<String, ExclusiveClaim> claims = new HashMap<>();
-    private final Set<String> busy = ConcurrentHashMap.newKeySet();
-    private final Set<String> loading = ConcurrentHashMap.newKeySet();
+    private final Set<String> acquiring = ConcurrentHashMap.newKeySet();
+    private final Set<String> orderedEndpoints = ConcurrentHashMap.newKeySet();
 
     @Inject
-    public OrderKeeper(
+    public LoadOrderService(
             ControlThread control,
             ControlState state,
-            PlatformWatch watch,
-            ClaimAcquirer taker,
+            PlatformWatch platformWatch,
+            ClaimAcquirer claimAcquirer,
             EndpointDirectory directory,
             RunnerClient client) {
         this.control = control;
         this.state = state;
-        this.watch = watch;
-        this.taker = taker;
+        this.platformWatch = platformWatch;
+        this.claimAcquirer = claimAcquirer;
         this.directory = directory;
         this.client = client;
     }
@@ -75,13 +77,13 @@
 
     @Override
     public void start() {
-        control.every(CHECK_MILLIS, this::check);
+        control.every(CHECK_INTERVAL_MILLIS, this::check);
     }
 
     private void check() {
         for (PoolObject pool : state.catalog().pools()) {
-            boolean models = pool.getKind() == PoolKind.MODEL;
-            if (models && !outdated(pool).isEmpty() && !state.isDraining()) {
+            boolean servesModel = pool.getKind() == PoolKind.MODEL;
+            if (servesModel && !outdatedEndpoints(pool).isEmpty() && !state.isDraining()) {
                 checkPool(pool, System.nanoTime());
             }
         }
@@ -89,17 +91,18 @@
 
     private void checkPool(PoolObject pool, long now) {
         ExclusiveClaim claim = claim(pool.getPool());
-        Optional<Catalog.Claim> present = state.catalog().order(pool.getPool());
-        present.ifPresent(held -> claim.observe(held.version(), held.holder()));
+        Optional<Catalog.Claim> current = state.catalog().order(pool.getPool());
+        current.ifPresent(known -> claim.observe(known.version(), known.holder()));
         if (claim.mayUse(now, state.freshness().isFresh(now))) {
-            giveOrders(pool, claim.version());
+            orderOutdatedEndpoints(pool, claim.version());
             return;
         }
-        boolean unheld = present.filter(held -> !state.isDead(held.holder(), now)).isEmpty();
-        boolean first = state.isFirstChoice(ObjectKeys.order(pool.getPool()), now);
-        boolean take = claim.isUnconfirmed() || unheld && first && watch.isReachable();
-        if (take && state.freshness().isFresh(now) && busy.add(pool.getPool())) {
-            Thread.ofVirtual().name(NAME).start(() -> take(pool.getPool(), present));
+        boolean vacant = current.filter(known -> !state.isDead(known.holder(), now)).isEmpty();
+        boolean firstChoice = state.isFirstChoice(ObjectKeys.order(pool.getPool()), now);
+        boolean acquire =
+                claim.isUnconfirmed() || vacant && firstChoice && platformWatch.isReachable();
+        if (acquire && state.freshness().isFresh(now) && acquiring.add(pool.getPool())) {
+            Thread.ofVirtual().name(NAME).start(() -> acquire(pool.getPool(), current));
         }
     }
 
@@ -108,7 +111,7 @@
                 pool, ignored -> new ExclusiveClaim(state.self(), state.freshness().limitNanos()));
     }
 
-    private Set<Endpoint> outdated(PoolObject pool) {
+    private Set<Endpoint> outdatedEndpoints(PoolObject pool) {
         Set<Endpoint> outdated = new HashSet<>();
         for (Endpoint endpoint : directory.usable(pool.getPool())) {
             if (endpoint.report().weightsVersion() != pool.getWeightsVersion()) {
@@ -118,25 +121,26 @@
         return outdated;
     }
 
-    private void giveOrders(PoolObject pool, long fencing) {
-        Set<String> reported = new HashSet<>();
+    private void orderOutdatedEndpoints(PoolObject pool, long fencingToken) {
+        Set<String> loadingNames = new HashSet<>();
         Map<String, Endpoint> byName = new HashMap<>();
         for (Endpoint endpoint : directory.usable(pool.getPool())) {
             byName.put(endpoint.name(), endpoint);
-            if (endpoint.report().loading() || loading.contains(endpoint.name())) {
-                reported.add(endpoint.name());
+            if (endpoint.report().loading() || orderedEndpoints.contains(endpoint.name())) {
+                loadingNames.add(endpoint.name());
             }
         }
-        Set<String> outdated = new HashSet<>();
-        outdated(pool).forEach(endpoint -> outdated.add(endpoint.name()));
-        for (String name : LoadPlan.next(outdated, reported, pool.getConcurrentLoads())) {
-            loading.add(name);
+        Set<String> outdatedNames = new HashSet<>();
+        outdatedEndpoints(pool).forEach(endpoint -> outdatedNames.add(endpoint.name()));
+        for (String name : LoadPlan.next(outdatedNames, loadingNames, pool.getConcurrentLoads())) {
+            orderedEndpoints.add(name);
             Endpoint endpoint = byName.get(name);
-            Thread.ofVirtual().start(() -> order(endpoint, fencing, pool.getWeightsVersion()));
+            Thread.ofVirtual()
+                    .start(() -> sendOrder(endpoint, fencingToken, pool.getWeightsVersion()));
         }
     }
 
-    private void order(Endpoint endpoint, long fencing, long weightsVersion) {
+    private void sendOrder(Endpoint endpoint, long fencingToken, long weightsVersion) {
         try {
             EventLog.info(
                     LogEvent.ORDER_GIVEN,
@@ -145,17 +149,17 @@
                             + ", weights "
                             + weightsVersion
                             + ", fencing "
-                            + fencing);
-            client.order(endpoint, fencing, weightsVersion);
+                            + fencingToken);
+            client.order(endpoint, fencingToken, weightsVersion);
             directory.report(endpoint, client.state(endpoint));
         } catch (RunnerException failed) {
             EventLog.warn(LogEvent.ORDER_FAILED, String.valueOf(failed.getMessage()));
         } finally {
-            loading.remove(endpoint.name());
+            orderedEndpoints.remove(endpoint.name());
         }
     }
 
-    private void take(String pool, Optional<Catalog.Claim> present) {
+    private void acquire(String pool, Optional<Catalog.Claim> current) {
         String mark = UUID.randomUUID().toString();
         OrderObject order =
                 OrderObject.newBuilder()
@@ -165,16 +169,16 @@
                         .setMark(mark)
                         .build();
         try {
-            taker.take(
+            claimAcquirer.acquire(
                     new ClaimAcquirer.Attempt(
                             ObjectKeys.order(pool),
-                            present,
+                            current,
                             order.toByteArray(),
                             value -> hasMark(value, mark),
-                            version -> claim(pool).take(version, present.isPresent()),
+                            version -> claim(pool).take(version, current.isPresent()),
                             version -> confirm(pool, version)));
         } finally {
-            busy.remove(pool);
+            acquiring.remove(pool);
         }
     }
 
@@ -193,6 +197,6 @@
 
     @Override
     public void stop() {
-        // The checks end with the control thread.
+        // The control thread ends the checks when it stops.
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/ReleasedShare.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/ReleasedShare.java
@@ -4,16 +4,17 @@
 import org.bronzelug.core.membership.MemberIdentity;
 
 /**
- * A group of teams' rates that its user has stopped using, for an heir.
+ * A rate share (the rates of a group of teams) that this VM has stopped using, for transfer to its
+ * successor.
  *
- * @param version of the share's object
- * @param holder whom the object names
- * @param levels the tokens left, by team
+ * @param version the version of the share's object
+ * @param holder the holder that the object names
+ * @param tokensByTeam the remaining tokens of each team
  */
 public record ReleasedShare(
-        int group, long version, MemberIdentity holder, Map<String, Double> levels) {
+        int group, long version, MemberIdentity holder, Map<String, Double> tokensByTeam) {
 
     public ReleasedShare {
-        levels = Map.copyOf(levels);
+        tokensByTeam = Map.copyOf(tokensByTeam);
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/RosterKeeper.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/RosterService.java
@@ -28,37 +28,38 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * Keeps this VM's entry in the roster, with its present addresses.
+ * Keeps this VM's entry, with its current addresses, in the roster: the stored list of the VMs that
+ * count for a majority.
  *
- * <p>Invariant: one write changes the roster by one VM, and only after the roster before it was
- * confirmed by a majority. So the majorities of any two rosters in use share a VM, which the
- * freshness argument needs. New addresses of a VM that is in the roster need no confirmation: the
- * majorities stay the same, and after a restart of all VMs nobody is at the old addresses.
- * Thread-safe: one attempt at a time.
+ * <p>Invariant: one write adds or removes at most one VM, and only after a majority has confirmed
+ * the previous roster. Therefore the majorities of any two rosters in use share a VM, which the
+ * staleness bound relies on. A change of addresses of a VM in the roster needs no confirmation of
+ * the previous roster: the majorities stay the same, and after a restart of all VMs no VM can be
+ * reached at the old addresses. Thread-safe: one attempt at a time.
  */
 @Singleton
-public final class RosterKeeper implements Service {
-    /** Under which the kernel knows this service. */
+public final class RosterService implements Service {
+    /** The name under which this service is registered with the kernel. */
     public static final String NAME = "roster";
 
-    private static final long CHECK_MILLIS = 150;
+    private static final long CHECK_INTERVAL_MILLIS = 150;
 
     private final Settings settings;
     private final ControlThread control;
     private final ControlState state;
-    private final PlatformWatch watch;
+    private final PlatformWatch platformWatch;
     private final ObjectWriter writer;
     private final Announcer announcer;
     private final PeerNetwork peers;
     private final CallerServer callers;
-    private final AtomicBoolean busy = new AtomicBoolean();
+    private final AtomicBoolean joining = new AtomicBoolean();
 
     @Inject
-    public RosterKeeper(
+    public RosterService(
             Settings settings,
             ControlThread control,
             ControlState state,
-            PlatformWatch watch,
+            PlatformWatch platformWatch,
             ObjectWriter writer,
             Announcer announcer,
             PeerNetwork peers,
@@ -66,7 +67,7 @@
         this.settings = settings;
         this.control = control;
         this.state = state;
-        this.watch = watch;
+        this.platformWatch = platformWatch;
         this.writer = writer;
         this.announcer = announcer;
         this.peers = peers;
@@ -80,67 +81,67 @@
 
     @Override
     public void start() {
-        control.every(CHECK_MILLIS, this::check);
+        control.every(CHECK_INTERVAL_MILLIS, this::check);
     }
 
     private void check() {
-        RosterEntry own = ownEntry();
-        boolean present = own.equals(state.catalog().roster().get(own.getVm()));
-        if (present || state.isDraining() || !watch.isReachable()) {
+        RosterEntry ownEntry = ownEntry();
+        boolean upToDate = ownEntry.equals(state.catalog().roster().get(ownEntry.getVm()));
+        if (upToDate || state.isDraining() || !platformWatch.isReachable()) {
             return;
         }
-        if (busy.compareAndSet(false, true)) {
+        if (joining.compareAndSet(false, true)) {
             Optional<VersionedObject> roster = state.configuration().object(ObjectKeys.ROSTER);
-            Thread.ofVirtual().name(NAME).start(() -> join(own, roster));
+            Thread.ofVirtual().name(NAME).start(() -> join(ownEntry, roster));
         }
     }
 
-    private void join(RosterEntry own, Optional<VersionedObject> present) {
+    private void join(RosterEntry ownEntry, Optional<VersionedObject> current) {
         try {
-            RosterObject.Builder next =
-                    present.isPresent()
-                            ? RosterObject.parseFrom(present.get().value()).toBuilder()
+            RosterObject.Builder updated =
+                    current.isPresent()
+                            ? RosterObject.parseFrom(current.get().value()).toBuilder()
                             : RosterObject.newBuilder();
-            boolean joins = replaceEntry(next, own);
-            if (joins && present.isPresent() && !announcer.announce(List.of(present.get()))) {
+            boolean added = setOwnEntry(updated, ownEntry);
+            if (added && current.isPresent() && !announcer.announce(List.of(current.get()))) {
                 return;
             }
             String mark = UUID.randomUUID().toString();
-            long version = present.map(VersionedObject::version).orElse(0L);
-            AuditTrail.append(next, entry(own, mark, version));
-            commit(next.build(), version, mark);
+            long version = current.map(VersionedObject::version).orElse(0L);
+            AuditTrail.append(updated, auditEntry(ownEntry, mark, version));
+            commit(updated.build(), version, mark);
         } catch (InvalidProtocolBufferException unreadable) {
             EventLog.warn(LogEvent.CONFIGURATION_UNREADABLE, ObjectKeys.ROSTER, unreadable);
         } finally {
-            busy.set(false);
+            joining.set(false);
         }
     }
 
-    private void commit(RosterObject next, long version, String mark) {
+    private void commit(RosterObject updated, long version, String mark) {
         ObjectWriter.Outcome outcome =
                 writer.write(
                         ObjectKeys.ROSTER,
                         version,
-                        next.toByteArray(),
+                        updated.toByteArray(),
                         value -> AuditTrail.rosterHasMark(value, mark));
         if (outcome instanceof ObjectWriter.Outcome.Committed committed) {
             announcer.announce(List.of(committed.object()));
             EventLog.info(LogEvent.ROSTER_JOINED, "version " + committed.object().version());
             return;
         }
-        // Others join too: wait at random, so that a herd's conflicts thin out.
-        Pause.millis(ThreadLocalRandom.current().nextLong(CHECK_MILLIS));
+        // Other VMs may join at the same time: a random delay reduces further conflicts.
+        Pause.millis(ThreadLocalRandom.current().nextLong(CHECK_INTERVAL_MILLIS));
     }
 
-    /** Puts this VM's entry in; whether the roster had none of its name. */
-    private static boolean replaceEntry(RosterObject.Builder roster, RosterEntry own) {
+    /** Sets this VM's entry. Returns whether the roster had no entry of this VM before. */
+    private static boolean setOwnEntry(RosterObject.Builder roster, RosterEntry ownEntry) {
         for (int index = 0; index < roster.getVmsCount(); index++) {
-            if (roster.getVms(index).getVm().equals(own.getVm())) {
-                roster.setVms(index, own);
+            if (roster.getVms(index).getVm().equals(ownEntry.getVm())) {
+                roster.setVms(index, ownEntry);
                 return false;
             }
         }
-        roster.addVms(own);
+        roster.addVms(ownEntry);
         return true;
     }
 
@@ -153,12 +154,12 @@
                 .build();
     }
 
-    private static AuditEntry entry(RosterEntry own, String mark, long baseVersion) {
+    private static AuditEntry auditEntry(RosterEntry ownEntry, String mark, long baseVersion) {
         return AuditEntry.newBuilder()
                 .setMark(mark)
-                .setOperatorName("vm " + own.getVm())
+                .setOperatorName("vm " + ownEntry.getVm())
                 .setReason("start")
-                .setChange("enter the roster at " + own.getCallerAddress())
+                .setChange("enter the roster at " + ownEntry.getCallerAddress())
                 .setTimeMs(System.currentTimeMillis())
                 .setBaseVersion(baseVersion)
                 .build();
@@ -166,6 +167,6 @@
 
     @Override
     public void stop() {
-        // The checks end with the control thread.
+        // The control thread ends the checks when it stops.
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/ShareKeeper.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/ShareService.java
@@ -24,32 +24,36 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * Takes over the rate shares that no living VM holds.
+ * Acquires the rate shares that no live VM holds. A rate share is the rates of a group of teams;
+ * one VM at a time, the holder of its claim, admits requests from it.
  *
- * <p>The VM that rendezvous hashing names for a group among the living ones takes it, by a
- * conditional update; so of several that try, one wins. State is touched on the control thread; the
- * writes run on threads of their own.
+ * <p>Rendezvous hashing over the available VMs chooses the VM that acquires a share. It does so by
+ * a conditional update, so if several VMs try, one succeeds. The control state is accessed on the
+ * control thread only; the writes to the platform run on threads of their own.
  */
 @Singleton
-public final class ShareKeeper implements Service {
-    /** Under which the kernel knows this service. */
+public final class ShareService implements Service {
+    /** The name under which this service is registered with the kernel. */
     public static final String NAME = "shares";
 
-    private static final long CHECK_MILLIS = 100;
+    private static final long CHECK_INTERVAL_MILLIS = 100;
 
     private final ControlThread control;
     private final ControlState state;
-    private final PlatformWatch watch;
-    private final ClaimAcquirer taker;
-    private final Set<Integer> busy = ConcurrentHashMap.newKeySet();
+    private final PlatformWatch platformWatch;
+    private final ClaimAcquirer claimAcquirer;
+    private final Set<Integer> acquiring = ConcurrentHashMap.newKeySet();
 
     @Inject
-    public ShareKeeper(
-            ControlThread control, ControlState state, PlatformWatch watch, ClaimAcquirer taker) {
+    public ShareService(
+            ControlThread control,
+            ControlState state,
+            PlatformWatch platformWatch,
+            ClaimAcquirer claimAcquirer) {
         this.control = control;
         this.state = state;
-        this.watch = watch;
-        this.taker = taker;
+        this.platformWatch = platformWatch;
+        this.claimAcquirer = claimAcquirer;
     }
 
     @Override
@@ -59,18 +63,18 @@
 
     @Override
     public void start() {
-        control.every(CHECK_MILLIS, this::check);
+        control.every(CHECK_INTERVAL_MILLIS, this::check);
     }
 
     private void check() {
         long now = System.nanoTime();
-        if (!watch.isReachable() || state.isDraining() || !state.freshness().isFresh(now)) {
+        if (!platformWatch.isReachable() || state.isDraining() || !state.freshness().isFresh(now)) {
             return;
         }
         for (int group : groupsInUse()) {
-            if (shouldTake(group, now) && busy.add(group)) {
-                Optional<Catalog.Claim> present = state.catalog().share(group);
-                Thread.ofVirtual().name(NAME).start(() -> take(group, present));
+            if (shouldAcquire(group, now) && acquiring.add(group)) {
+                Optional<Catalog.Claim> current = state.catalog().share(group);
+                Thread.ofVirtual().name(NAME).start(() -> acquire(group, current));
             }
         }
     }
@@ -83,15 +87,15 @@
         return groups;
     }
 
-    private boolean shouldTake(int group, long now) {
-        Optional<Catalog.Claim> present = state.catalog().share(group);
-        boolean held = present.filter(claim -> !state.isDead(claim.holder(), now)).isPresent();
+    private boolean shouldAcquire(int group, long now) {
+        Optional<Catalog.Claim> current = state.catalog().share(group);
+        boolean held = current.filter(claim -> !state.isDead(claim.holder(), now)).isPresent();
         return held
                 ? state.shares().claim(group).isUnconfirmed()
                 : state.isFirstChoice(ObjectKeys.share(group), now);
     }
 
-    private void take(int group, Optional<Catalog.Claim> present) {
+    private void acquire(int group, Optional<Catalog.Claim> current) {
         String mark = UUID.randomUUID().toString();
         ShareObject share =
                 ShareObject.newBuilder()
@@ -101,16 +105,16 @@
                         .setMark(mark)
                         .build();
         try {
-            taker.take(
+            claimAcquirer.acquire(
                     new ClaimAcquirer.Attempt(
                             ObjectKeys.share(group),
-                            present,
+                            current,
                             share.toByteArray(),
                             value -> hasMark(value, mark),
-                            version -> state.shares().take(group, version, present.isPresent()),
+                            version -> state.shares().take(group, version, current.isPresent()),
                             version -> confirm(group, version)));
         } finally {
-            busy.remove(group);
+            acquiring.remove(group);
         }
     }
 
@@ -127,7 +131,10 @@
         EventLog.info(LogEvent.SHARE_TAKEN, "group " + group + ", version " + version);
     }
 
-    /** The groups used here, released for an heir: from now on this VM admits nothing of them. */
+    /**
+     * Releases the shares that this VM uses and returns them for transfer to its successor. From
+     * now on this VM admits no request from them.
+     */
     public List<ReleasedShare> releaseAll() {
         return control.ask(this::releaseOnControlThread).join();
     }
@@ -137,12 +144,12 @@
         long now = System.nanoTime();
         for (int group : groupsInUse()) {
             Optional<MemberIdentity> holder = state.shares().claim(group).holder();
-            boolean usable = state.shares().claim(group).usableFrom().isPresent();
-            if (usable && holder.isPresent()) {
+            boolean inUse = state.shares().claim(group).usableFrom().isPresent();
+            if (inUse && holder.isPresent()) {
                 long version = state.shares().claim(group).version();
-                Map<String, Double> levels =
+                Map<String, Double> tokensByTeam =
                         state.shares().release(group, state.catalog().rates(), now);
-                released.add(new ReleasedShare(group, version, holder.get(), levels));
+                released.add(new ReleasedShare(group, version, holder.get(), tokensByTeam));
             }
         }
         return released;
@@ -150,6 +157,6 @@
 
     @Override
     public void stop() {
-        // The checks end with the control thread.
+        // The control thread ends the checks when it stops.
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/SuccessorService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/SuccessorService.java
@@ -17,11 +17,11 @@
 import org.bronzelug.daemon.peer.PeerNetwork;
 
 /**
- * Takes over the action records and shares of a VM that stops gracefully.
+ * Receives the action records and rate shares of a VM that shuts down gracefully.
  *
- * <p>The shares' objects still name the former holder; this VM uses them in its stead as long as
- * that version is in force, so no platform call is needed and a hand-over works in an outage.
- * Thread-safe.
+ * <p>The shares' objects still name the previous holder. This VM uses the shares in its place as
+ * long as that version of the object is in force, so a transfer needs no platform call and also
+ * works during a platform outage. Thread-safe.
  */
 @Singleton
 public final class SuccessorService {
@@ -35,17 +35,19 @@
         this.control = control;
         this.state = state;
         this.actions = actions;
-        peers.handle(Envelope.BodyCase.HAND_OVER, this::take);
+        peers.handle(Envelope.BodyCase.HAND_OVER, this::receive);
     }
 
-    private CompletableFuture<Envelope.Builder> take(Envelope envelope) {
+    private CompletableFuture<Envelope.Builder> receive(Envelope envelope) {
         HandOver message = envelope.getHandOver();
         return control.ask(
                 () -> {
-                    List<OwnershipPeriod> formers = HandOverMessages.formers(message);
-                    actions.adopt(
-                            formers, HandOverMessages.records(message), message.getComplete());
-                    formers.forEach(former -> state.inherit(former.identity()));
+                    List<OwnershipPeriod> previousOwners = HandOverMessages.previousOwners(message);
+                    actions.takeOwnership(
+                            previousOwners,
+                            HandOverMessages.records(message),
+                            message.getComplete());
+                    previousOwners.forEach(owner -> state.takeOwnership(owner.identity()));
                     long now = System.nanoTime();
                     for (ShareLevels share : message.getSharesList()) {
                         state.shares()
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/package-info.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/package-info.java
@@ -1,2 +1,5 @@
-/** Taking over what one VM at a time may use: rate shares, orders, and the roster's entry. */
+/**
+ * Acquisition of claims, which one VM at a time may hold (rate shares and orders to load weights),
+ * and the upkeep of this VM's roster entry.
+ */
 package org.bronzelug.daemon.claim;
--- a/daemon/src/main/java/org/bronzelug/daemon/control/Announcer.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/Announcer.java
@@ -18,17 +18,18 @@
 /**
  * Brings committed objects into force: pushes them to all VMs until a majority holds them.
  *
- * <p>Two rounds: a VM counts only if the same incarnation confirms in both. After the first round a
- * VM may have restarted and forgotten what it confirmed; the second shows that all of the majority
- * held the objects at one moment, the end of the first round (DESIGN.md "Freshness").
+ * <p>The push has two rounds, and a VM counts only if the same incarnation confirms in both. A VM
+ * may restart after its first confirmation and lose the objects; the second confirmation shows that
+ * the whole majority held them at the same moment, the end of the first round (DESIGN.md
+ * "Freshness").
  *
  * <p>Blocking; called on traffic threads, never on the control thread. Thread-safe.
  */
 @Singleton
 public final class Announcer {
-    private static final long EXCHANGE_MILLIS = 400;
-    private static final int TRIES = 6;
-    private static final long PAUSE_MILLIS = 50;
+    private static final long EXCHANGE_TIMEOUT_MILLIS = 400;
+    private static final int MAXIMUM_ATTEMPTS = 6;
+    private static final long RETRY_DELAY_MILLIS = 50;
 
     private final ControlThread control;
     private final ControlState state;
@@ -41,20 +42,24 @@
         this.peers = peers;
     }
 
-    /** Installs the objects here and pushes them; whether a majority has confirmed them. */
+    /**
+     * Installs the objects on this VM and pushes them to the others.
+     *
+     * @return whether a majority has confirmed the objects
+     */
     public boolean announce(List<VersionedObject> objects) {
         PushObjects push =
                 PushObjects.newBuilder().addAllObjects(PeerMessages.toMessages(objects)).build();
-        for (int attempt = 0; attempt < TRIES; attempt++) {
+        for (int attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
             Announcement announcement = control.ask(() -> begin(objects)).join();
-            round(push, announcement::confirmFirst, announcement::isFirstComplete, announcement);
-            round(push, announcement::confirmSecond, announcement::isInForce, announcement);
+            runRound(push, announcement::confirmFirst, announcement::isFirstComplete, announcement);
+            runRound(push, announcement::confirmSecond, announcement::isInForce, announcement);
             synchronized (announcement) {
                 if (announcement.isInForce()) {
                     return true;
                 }
             }
-            Pause.millis(PAUSE_MILLIS);
+            Pause.millis(RETRY_DELAY_MILLIS);
         }
         return false;
     }
@@ -64,43 +69,53 @@
         return new Announcement(state.freshness().majority(), state.freshness().isCaughtUp());
     }
 
-    /** Takes one VM's confirmation. */
+    /** Records the confirmation of one VM. */
     private interface Confirmation {
-        void confirm(String vm, String incarnation, boolean settled);
+        void confirm(String vm, String incarnation, boolean caughtUp);
     }
 
-    /** One push to all other VMs; ends when enough have confirmed, or all answered or failed. */
-    private void round(
+    /**
+     * Pushes the objects to all other VMs once. Returns as soon as enough VMs have confirmed, or
+     * when each VM has answered or failed.
+     */
+    private void runRound(
             PushObjects push,
             Confirmation confirmation,
             BooleanSupplier isEnough,
             Announcement announcement) {
-        CompletableFuture<Boolean> enough = new CompletableFuture<>();
-        BiConsumer<String, Acknowledged> count =
-                (vm, answer) -> {
+        CompletableFuture<Boolean> enoughConfirmed = new CompletableFuture<>();
+        BiConsumer<String, Acknowledged> recordConfirmation =
+                (vm, acknowledged) -> {
                     synchronized (announcement) {
-                        confirmation.confirm(vm, answer.getIncarnation(), answer.getSettled());
+                        confirmation.confirm(
+                                vm, acknowledged.getIncarnation(), acknowledged.getSettled());
                         if (isEnough.getAsBoolean()) {
-                            enough.complete(true);
+                            enoughConfirmed.complete(true);
                         }
                     }
                 };
-        List<CompletableFuture<?>> answers = new ArrayList<>();
+        List<CompletableFuture<?>> exchanges = new ArrayList<>();
         state.view()
                 .peers()
                 .forEach(
                         (vm, peer) ->
-                                answers.add(
+                                exchanges.add(
                                         push(peer.peerAddress(), push)
-                                                .thenAccept(answer -> count.accept(vm, answer))
+                                                .thenAccept(
+                                                        acknowledged ->
+                                                                recordConfirmation.accept(
+                                                                        vm, acknowledged))
                                                 .exceptionally(failure -> null)));
-        CompletableFuture<?> all =
-                CompletableFuture.allOf(answers.toArray(new CompletableFuture<?>[0]));
-        CompletableFuture.anyOf(all, enough).join();
+        CompletableFuture<?> allDone =
+                CompletableFuture.allOf(exchanges.toArray(new CompletableFuture<?>[0]));
+        CompletableFuture.anyOf(allDone, enoughConfirmed).join();
     }
 
     private CompletableFuture<Acknowledged> push(String address, PushObjects push) {
-        return peers.exchange(address, Envelope.newBuilder().setPushObjects(push), EXCHANGE_MILLIS)
+        return peers.exchange(
+                        address,
+                        Envelope.newBuilder().setPushObjects(push),
+                        EXCHANGE_TIMEOUT_MILLIS)
                 .thenApply(Envelope::getAcknowledged);
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/control/ControlState.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/ControlState.java
@@ -28,37 +28,39 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * The daemon's control state: configuration, freshness, rate shares, heirs.
+ * The daemon's control state: configuration, freshness, rate shares and successors.
  *
- * <p>All methods but {@link #view} run on the control thread. Invariant: the view published is
- * never newer than the state, and its freshness never claims more than the configuration holds.
+ * <p>All methods except {@link #view} run on the control thread. Invariant: the published view is
+ * never newer than the state, and its configuration contains all that was in force at the time as
+ * of which the view counts as synchronized.
  */
 @Singleton
 public final class ControlState {
-    /** A VM not heard of for so long is taken for dead. */
+    /** A VM that was not seen for this time, directly or by another VM, counts as dead. */
     public static final long DEAD_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
     private final MemberIdentity self;
     private final Freshness freshness;
     private final RateShares shares;
-    private final Map<MemberIdentity, String> heirs = new HashMap<>();
+    private final Map<MemberIdentity, String> successors = new HashMap<>();
     private ConfigurationState configuration = ConfigurationState.empty();
     private Catalog catalog = Catalog.of(configuration);
     private boolean draining;
-    private final Set<String> unheard = new HashSet<>();
-    private boolean wasFresh;
+    private final Set<String> unreachablePeers = new HashSet<>();
+    private boolean lastLoggedFresh;
     private volatile ControlView view;
 
     @Inject
     public ControlState(MemberIdentity self, Settings settings) {
         this.self = self;
-        long limit = TimeUnit.MILLISECONDS.toNanos(settings.limits().freshnessMillis());
-        this.freshness = new Freshness(self, limit, System.nanoTime());
-        this.shares = new RateShares(self, limit);
+        long stalenessBoundNanos =
+                TimeUnit.MILLISECONDS.toNanos(settings.limits().freshnessMillis());
+        this.freshness = new Freshness(self, stalenessBoundNanos, System.nanoTime());
+        this.shares = new RateShares(self, stalenessBoundNanos);
         publish();
     }
 
-    /** What traffic threads may read at any time. */
+    /** Returns the view of the state that traffic threads may read at any time. */
     public ControlView view() {
         return view;
     }
@@ -91,7 +93,7 @@
         draining = true;
     }
 
-    /** Installs what is newer; the rest changes nothing. */
+    /** Installs the objects that are newer than the present ones and ignores the others. */
     public void install(Collection<VersionedObject> objects) {
         ConfigurationState next = configuration.with(objects);
         if (next == configuration) {
@@ -118,61 +120,76 @@
         if (claim.isEmpty() || claim.get().version() <= shares.claim(group).version()) {
             return;
         }
-        boolean held = shares.claim(group).heldBySelf();
+        boolean heldBefore = shares.claim(group).heldBySelf();
         shares.observe(group, claim.get().version(), claim.get().holder());
-        if (held && !shares.claim(group).heldBySelf()) {
+        if (heldBefore && !shares.claim(group).heldBySelf()) {
             EventLog.warn(
-                    LogEvent.SHARE_LOST, "group " + group + ", now at " + claim.get().holder());
+                    LogEvent.SHARE_LOST,
+                    "group " + group + ", now held by " + claim.get().holder());
         }
     }
 
-    /** Notes a platform read that the configuration now covers. */
-    public void recordPlatform(long sentNanos) {
+    /**
+     * Records a platform read. The caller must have installed the objects that it returned.
+     *
+     * @param sentNanos the time at which the read was sent
+     */
+    public void recordPlatformRead(long sentNanos) {
         freshness.recordPlatform(sentNanos);
         publish();
     }
 
-    /** Notes a peer's report that the configuration now covers. */
-    public void recordReport(ProbeReport report, Collection<String> heirOf, long sentNanos) {
+    /**
+     * Records the report of a peer. The caller must have installed all objects of which the peer
+     * has newer versions.
+     *
+     * @param previousOwners the incarnations whose successor the peer is
+     * @param sentNanos the time at which the probe was sent
+     */
+    public void recordReport(
+            ProbeReport report, Collection<String> previousOwners, long sentNanos) {
         freshness.recordReport(report, sentNanos);
-        for (String former : heirOf) {
-            MemberIdentity.parse(former)
-                    .ifPresent(identity -> heirs.put(identity, report.peer().vm()));
+        for (String previousOwner : previousOwners) {
+            MemberIdentity.parse(previousOwner)
+                    .ifPresent(identity -> successors.put(identity, report.peer().vm()));
         }
         publish();
     }
 
-    /** Notes that this VM answers for a VM that has stopped gracefully. */
-    public void inherit(MemberIdentity former) {
-        heirs.put(former, self.vm());
+    /** Records that this VM is the successor of a VM that shuts down gracefully. */
+    public void takeOwnership(MemberIdentity previousOwner) {
+        successors.put(previousOwner, self.vm());
         publish();
     }
 
-    /** Whether the incarnation given answers no more, and has no heir that does. */
+    /** Returns whether an incarnation is dead and has no live successor. */
     public boolean isDead(MemberIdentity identity, long nowNanos) {
-        String heir = heirs.get(identity);
-        if (heir != null && freshness.seenWithin(heir, nowNanos, DEAD_AFTER_NANOS)) {
+        String successor = successors.get(identity);
+        if (successor != null && freshness.seenWithin(successor, nowNanos, DEAD_AFTER_NANOS)) {
             return false;
         }
         return freshness.isDead(identity, nowNanos, DEAD_AFTER_NANOS);
     }
 
-    /** The VMs, this one included, that live and are not about to stop. */
+    /** Returns the VMs that are live and not draining; may include this VM. */
     public List<String> availableVms(long nowNanos) {
         List<String> available = new ArrayList<>();
         for (String vm : freshness.roster()) {
-            boolean leaving =
+            boolean vmDraining =
                     vm.equals(self.vm())
                             ? draining
                             : freshness.member(vm).filter(MemberStatus::draining).isPresent();
-            if (!leaving && freshness.seenWithin(vm, nowNanos, DEAD_AFTER_NANOS)) {
+            if (!vmDraining && freshness.seenWithin(vm, nowNanos, DEAD_AFTER_NANOS)) {
                 available.add(vm);
             }
         }
         return available;
     }
 
-    /** Whether this VM is the available one that a key falls to: every VM decides it alike. */
+    /**
+     * Returns whether rendezvous hashing over the available VMs assigns a key to this VM. All VMs
+     * that see the same VMs as available agree on the result.
+     */
     public boolean isFirstChoice(String key, long nowNanos) {
         return Rendezvous.first(key, availableVms(nowNanos)).filter(self.vm()::equals).isPresent();
     }
@@ -186,24 +203,26 @@
                 peers.put(entry.getVm(), peerView(entry, now));
             }
         }
-        boolean single = freshness.isCaughtUp() && freshness.roster().equals(Set.of(self.vm()));
-        OptionalLong asOf = freshness.freshAsOf(now);
+        boolean caughtUpSingle =
+                freshness.isCaughtUp() && freshness.roster().equals(Set.of(self.vm()));
+        OptionalLong syncedAsOf = freshness.freshAsOf(now);
         view =
                 new ControlView(
                         catalog,
-                        single,
-                        asOf,
+                        caughtUpSingle,
+                        syncedAsOf,
                         freshness.limitNanos(),
                         Map.copyOf(peers),
-                        Map.copyOf(heirs));
+                        Map.copyOf(successors));
         logChanges(now);
     }
 
     private void logChanges(long now) {
         boolean fresh = view.isFresh(now);
-        if (fresh != wasFresh) {
-            wasFresh = fresh;
-            String age = "configuration known as of " + view.freshAsOfNanos() + ", now " + now;
+        if (fresh != lastLoggedFresh) {
+            lastLoggedFresh = fresh;
+            String age =
+                    "configuration synchronized as of " + view.freshAsOfNanos() + ", now " + now;
             if (fresh) {
                 EventLog.info(LogEvent.FRESHNESS_REGAINED, age);
             } else {
@@ -214,23 +233,23 @@
                 .forEach(
                         (vm, peer) -> {
                             if (peer.live()) {
-                                unheard.remove(vm);
-                            } else if (unheard.add(vm)) {
+                                unreachablePeers.remove(vm);
+                            } else if (unreachablePeers.add(vm)) {
                                 EventLog.warn(LogEvent.PEER_UNREACHABLE, "vm " + vm);
                             }
                         });
     }
 
     private ControlView.PeerView peerView(RosterEntry entry, long now) {
-        Optional<MemberStatus> known = freshness.member(entry.getVm());
+        Optional<MemberStatus> status = freshness.member(entry.getVm());
         return new ControlView.PeerView(
-                known.map(MemberStatus::identity),
+                status.map(MemberStatus::identity),
                 entry.getAvailabilityZone(),
                 entry.getCallerAddress(),
                 entry.getPeerAddress(),
-                known.map(MemberStatus::lastSeenNanos)
+                status.map(MemberStatus::lastSeenNanos)
                         .orElse(now - 2 * ProbeTargets.REMEMBERED_NANOS),
                 freshness.seenWithin(entry.getVm(), now, DEAD_AFTER_NANOS),
-                known.map(MemberStatus::draining).orElse(false));
+                status.map(MemberStatus::draining).orElse(false));
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/control/ControlThread.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/ControlThread.java
@@ -12,13 +12,13 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * The one thread that owns all control state: configuration, freshness, shares.
+ * The single thread that owns all control state: configuration, freshness and rate shares.
  *
- * <p>Invariant: tasks run one at a time, in the order of their hand-in; none may block.
+ * <p>Invariant: tasks run one at a time, in the order of their submission. No task may block.
  */
 @Singleton
 public final class ControlThread implements Service {
-    /** Under which the kernel knows this service. */
+    /** The name under which this service is registered with the kernel. */
     public static final String NAME = "control";
 
     private final ScheduledExecutorService executor =
@@ -40,28 +40,31 @@
     @Override
     public void start() {}
 
-    /** Runs a task on the control thread and gives its result to any other. */
+    /** Runs a task on the control thread and returns a future of its result. */
     public <T> CompletableFuture<T> ask(Supplier<T> task) {
         return CompletableFuture.supplyAsync(task, executor);
     }
 
     /** Runs a task on the control thread. */
     public void run(Runnable task) {
-        executor.execute(guarded(task));
+        executor.execute(logFailures(task));
     }
 
-    /** Runs a task on the control thread again and again. */
-    public void every(long millis, Runnable task) {
-        executor.scheduleWithFixedDelay(guarded(task), millis, millis, TimeUnit.MILLISECONDS);
+    /** Runs a task on the control thread repeatedly, with the given delay between two runs. */
+    public void every(long delayMillis, Runnable task) {
+        executor.scheduleWithFixedDelay(
+                logFailures(task), delayMillis, delayMillis, TimeUnit.MILLISECONDS);
     }
 
-    private static Runnable guarded(Runnable task) {
-        // An exception would silently end a periodic task: the VM would go stale with no word why.
+    private static Runnable logFailures(Runnable task) {
+        // Without this, an exception would silently end a periodic task, and the VM would become
+        // stale without a log entry that says why.
         return () -> {
             try {
                 task.run();
             } catch (RuntimeException unexpected) {
-                EventLog.warn(LogEvent.INTERNAL_ERROR, "on the control thread", unexpected);
+                EventLog.warn(
+                        LogEvent.INTERNAL_ERROR, "task on the control thread failed", unexpected);
             }
         };
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/control/ControlView.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/ControlView.java
@@ -7,14 +7,17 @@
 import org.bronzelug.daemon.configuration.Catalog;
 
 /**
- * What traffic threads see of the control state. Immutable; replaced as a whole.
+ * The part of the control state that traffic threads (the threads that serve requests) read.
+ * Immutable; replaced as a whole.
  *
- * @param catalog the configuration in force here
- * @param settledSingle whether this VM alone is a majority, so that its knowledge never ages
- * @param freshAsOfNanos everything in force at this time is in the catalog; empty: nothing known
- * @param limitNanos the age at which this VM stops serving
- * @param peers the other VMs of the roster
- * @param heirs who answers for an incarnation that has stopped gracefully
+ * @param catalog the configuration in force on this VM
+ * @param settledSingle whether this VM has caught up and is the only VM of the roster, so that its
+ *     configuration never becomes stale
+ * @param freshAsOfNanos the time as of which the catalog is synchronized: it contains all that was
+ *     in force then; empty before the first synchronization
+ * @param limitNanos the staleness bound: the age of the catalog beyond which this VM stops serving
+ * @param peers the other VMs of the roster, by name
+ * @param successors the name of the successor of each incarnation that has stopped gracefully
  */
 public record ControlView(
         Catalog catalog,
@@ -22,15 +25,15 @@
         OptionalLong freshAsOfNanos,
         long limitNanos,
         Map<String, PeerView> peers,
-        Map<MemberIdentity, String> heirs) {
+        Map<MemberIdentity, String> successors) {
 
     /**
-     * One other VM.
+     * The state of another VM.
      *
-     * @param identity its newest incarnation; empty where it was never heard of
-     * @param peerAddress where daemons reach it
-     * @param lastSeenNanos when it lived last
-     * @param live whether it was heard of lately
+     * @param identity its newest incarnation; empty if the VM was never seen
+     * @param peerAddress the address at which other daemons reach it
+     * @param lastSeenNanos the latest time at which it was known to be live
+     * @param live whether it was seen recently
      */
     public record PeerView(
             Optional<MemberIdentity> identity,
@@ -41,18 +44,22 @@
             boolean live,
             boolean draining) {}
 
-    /** Whether the catalog is surely no older than the limit. */
+    /** Returns whether the catalog is certainly no older than the staleness bound. */
     public boolean isFresh(long nowNanos) {
         return settledSingle
                 || freshAsOfNanos.isPresent()
                         && nowNanos - freshAsOfNanos.getAsLong() <= limitNanos;
     }
 
-    /** The peer address of the VM that answers for an incarnation, if it still does. */
+    /**
+     * Returns the peer address of the VM that owns an incarnation's state: its successor after a
+     * graceful shutdown, otherwise the VM itself while it runs this incarnation. Empty if the owner
+     * is this VM or there is none.
+     */
     public Optional<String> addressOf(MemberIdentity identity) {
-        String heir = heirs.get(identity);
-        if (heir != null) {
-            return Optional.ofNullable(peers.get(heir)).map(PeerView::peerAddress);
+        String successor = successors.get(identity);
+        if (successor != null) {
+            return Optional.ofNullable(peers.get(successor)).map(PeerView::peerAddress);
         }
         return Optional.ofNullable(peers.get(identity.vm()))
                 .filter(peer -> peer.identity().filter(identity::equals).isPresent())
--- a/daemon/src/main/java/org/bronzelug/daemon/control/PeerMessages.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/PeerMessages.java
@@ -16,25 +16,26 @@
 import org.bronzelug.core.membership.ProbeReport;
 
 /**
- * Translates between the messages of the peer protocol and the core's terms.
+ * Translates between the messages of the peer protocol and the types of the core module.
  *
- * <p>Ages are rounded up to milliseconds, so that knowledge never looks younger than it is.
+ * <p>Ages are rounded up to whole milliseconds, so that information never appears newer than it is.
  * Stateless and thread-safe.
  */
 final class PeerMessages {
     private PeerMessages() {}
 
-    /** The answer to a peer that has the same roll: one byte a member. */
-    static ProbeAnswer.Builder packedAnswer(ProbeReport report, long digest, MemberIndex roll) {
-        PackedAges packed = PackedAges.pack(roll, report.members());
-        ProbeReport named =
+    /** Returns the answer to a peer that has the same member index: one byte for each member. */
+    static ProbeAnswer.Builder packedAnswer(
+            ProbeReport report, long digest, MemberIndex memberIndex) {
+        PackedAges packed = PackedAges.pack(memberIndex, report.members());
+        ProbeReport individualReport =
                 new ProbeReport(
                         report.peer(),
                         report.settled(),
                         report.draining(),
                         report.platformAgeNanos(),
                         packed.named());
-        return answer(named, digest).setPackedAges(ByteString.copyFrom(packed.ages()));
+        return answer(individualReport, digest).setPackedAges(ByteString.copyFrom(packed.ages()));
     }
 
     static ProbeAnswer.Builder answer(ProbeReport report, long digest) {
@@ -45,31 +46,31 @@
                         .setDigest(digest)
                         .setSettled(report.settled())
                         .setDraining(report.draining());
-        report.platformAgeNanos().ifPresent(age -> answer.setPlatformAgeMs(millisUp(age)));
+        report.platformAgeNanos().ifPresent(age -> answer.setPlatformAgeMs(ceilMillis(age)));
         for (ProbeReport.MemberAge member : report.members()) {
             MemberAge.Builder age =
                     MemberAge.newBuilder()
                             .setVm(member.identity().vm())
                             .setIncarnation(member.identity().incarnation())
-                            .setHeardAgeMs((int) millisUp(member.lastSeenAgeNanos()))
+                            .setHeardAgeMs((int) ceilMillis(member.lastSeenAgeNanos()))
                             .setDraining(member.draining());
             member.syncedAgeNanos()
-                    .ifPresent(covered -> age.setCoveredAgeMs((int) millisUp(covered)));
+                    .ifPresent(synced -> age.setCoveredAgeMs((int) ceilMillis(synced)));
             answer.addMembers(age);
         }
         return answer;
     }
 
     /**
-     * Reads a report.
+     * Returns the report in a peer's answer.
      *
-     * @param roll whose digest the probe carried
+     * @param memberIndex the member index whose digest the probe carried
      */
-    static ProbeReport report(ProbeAnswer answer, MemberIndex roll) {
+    static ProbeReport report(ProbeAnswer answer, MemberIndex memberIndex) {
         List<ProbeReport.MemberAge> members =
-                PackedAges.unpack(roll, answer.getPackedAges().toByteArray());
+                PackedAges.unpack(memberIndex, answer.getPackedAges().toByteArray());
         for (MemberAge member : answer.getMembersList()) {
-            OptionalLong covered =
+            OptionalLong syncedAge =
                     member.hasCoveredAgeMs()
                             ? OptionalLong.of(nanos(member.getCoveredAgeMs()))
                             : OptionalLong.empty();
@@ -77,7 +78,7 @@
                     new ProbeReport.MemberAge(
                             new MemberIdentity(member.getVm(), member.getIncarnation()),
                             nanos(member.getHeardAgeMs()),
-                            covered,
+                            syncedAge,
                             member.getDraining()));
         }
         OptionalLong platformAge =
@@ -114,7 +115,7 @@
         return objects;
     }
 
-    private static long millisUp(long nanos) {
+    private static long ceilMillis(long nanos) {
         return (Math.max(0, nanos) + 999_999) / 1_000_000;
     }
 
--- a/daemon/src/main/java/org/bronzelug/daemon/control/PlatformWatch.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/PlatformWatch.java
@@ -13,26 +13,28 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * Reads the platform's objects: once whole, then by watches.
+ * Reads the platform's objects: all of them first, then the changes by watches.
  *
- * <p>Only some VMs hold a watch, chosen by rendezvous hashing, so the platform's load grows by a
- * sixteenth of the fleet; the others hear from their peers, and ask the platform themselves only
- * when their knowledge gets old. A platform that fails is asked with growing, random pauses.
+ * <p>Only one VM in sixteen, but at least three, watches the platform, so the platform's load grows
+ * with a sixteenth of the number of VMs; rendezvous hashing chooses the watchers. The other VMs
+ * receive the changes from their peers, and read the platform only when their configuration is
+ * older than half the staleness bound. Failed calls are retried with exponential backoff and full
+ * jitter.
  *
- * <p>One thread of its own; the state is touched on the control thread only.
+ * <p>Runs on a thread of its own; the control state is accessed on the control thread only.
  */
 @Singleton
 public final class PlatformWatch implements Service {
-    /** Under which the kernel knows this service. */
+    /** The name under which this service is registered with the kernel. */
     public static final String NAME = "platform-watch";
 
     private static final String WATCHERS_KEY = "platform-watchers";
-    private static final int LEAST_WATCHERS = 3;
+    private static final int MINIMUM_WATCHERS = 3;
     private static final int VMS_PER_WATCHER = 16;
-    private static final long WATCH_MILLIS = 400;
-    private static final long IDLE_MILLIS = 100;
-    private static final long LONGEST_PAUSE_MILLIS = 4_000;
-    private static final long FIRST_PAUSE_MILLIS = 100;
+    private static final long WATCH_TIMEOUT_MILLIS = 400;
+    private static final long IDLE_CHECK_INTERVAL_MILLIS = 100;
+    private static final long MAXIMUM_RETRY_DELAY_MILLIS = 4_000;
+    private static final long INITIAL_RETRY_DELAY_MILLIS = 100;
 
     private final PlatformClient platform;
     private final ControlThread control;
@@ -40,7 +42,7 @@
     private Thread thread;
     private volatile boolean reachable;
     private long revision = -1;
-    private long pauseMillis = FIRST_PAUSE_MILLIS;
+    private long maximumDelayMillis = INITIAL_RETRY_DELAY_MILLIS;
 
     @Inject
     public PlatformWatch(PlatformClient platform, ControlThread control, ControlState state) {
@@ -59,7 +61,7 @@
         thread = Thread.ofVirtual().name(NAME).start(this::loop);
     }
 
-    /** Whether the last call to the platform was answered. */
+    /** Returns whether the platform answered the last call. */
     public boolean isReachable() {
         return reachable;
     }
@@ -67,67 +69,71 @@
     private void loop() {
         try {
             while (!Thread.currentThread().isInterrupted()) {
-                if (shouldAsk()) {
-                    ask();
+                if (shouldCallPlatform()) {
+                    readPlatform();
                 } else {
-                    TimeUnit.MILLISECONDS.sleep(IDLE_MILLIS);
+                    TimeUnit.MILLISECONDS.sleep(IDLE_CHECK_INTERVAL_MILLIS);
                 }
             }
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** A VM that has not reached the platform goes on asking: it may have an address to tell. */
-    private boolean shouldAsk() {
-        return !reachable || control.ask(this::isWatcherOrGettingOld).join();
+    /**
+     * Returns whether to call the platform now. While the platform is unreachable every VM keeps
+     * calling it, since a VM may have to write its new addresses to the roster once it is
+     * reachable.
+     */
+    private boolean shouldCallPlatform() {
+        return !reachable || control.ask(this::isWatcherOrNearlyStale).join();
     }
 
-    private boolean isWatcherOrGettingOld() {
+    private boolean isWatcherOrNearlyStale() {
         long now = System.nanoTime();
         Optional<Long> age = state.freshness().ageNanos(now).stream().boxed().findFirst();
-        boolean old = age.isEmpty() || age.get() > state.freshness().limitNanos() / 2;
+        boolean nearlyStale = age.isEmpty() || age.get() > state.freshness().limitNanos() / 2;
         var vms = state.availableVms(now);
-        int watchers = Math.max(LEAST_WATCHERS, vms.size() / VMS_PER_WATCHER);
-        int place = Rendezvous.order(WATCHERS_KEY, vms).indexOf(state.self().vm());
-        return old || place >= 0 && place < watchers;
+        int watchers = Math.max(MINIMUM_WATCHERS, vms.size() / VMS_PER_WATCHER);
+        int rank = Rendezvous.order(WATCHERS_KEY, vms).indexOf(state.self().vm());
+        return nearlyStale || rank >= 0 && rank < watchers;
     }
 
-    private void ask() throws InterruptedException {
-        long sent = System.nanoTime();
+    private void readPlatform() throws InterruptedException {
+        long sentNanos = System.nanoTime();
         try {
             PlatformClient.Listing listing =
-                    revision < 0 ? platform.list() : platform.watch(revision, WATCH_MILLIS);
+                    revision < 0 ? platform.list() : platform.watch(revision, WATCH_TIMEOUT_MILLIS);
             control.ask(
                             () -> {
                                 state.install(listing.objects());
-                                state.recordPlatform(sent);
+                                state.recordPlatformRead(sentNanos);
                                 return true;
                             })
                     .join();
             revision = listing.revision();
-            noteReachable();
+            recordSuccess();
         } catch (PlatformException failed) {
-            noteFailure(failed);
+            backOff(failed);
         }
     }
 
-    private void noteReachable() {
+    private void recordSuccess() {
         if (!reachable) {
             EventLog.info(LogEvent.PLATFORM_REACHED, "revision " + revision);
         }
         reachable = true;
-        pauseMillis = FIRST_PAUSE_MILLIS;
+        maximumDelayMillis = INITIAL_RETRY_DELAY_MILLIS;
     }
 
-    private void noteFailure(PlatformException failed) throws InterruptedException {
+    private void backOff(PlatformException failed) throws InterruptedException {
         if (reachable) {
             EventLog.warn(LogEvent.PLATFORM_LOST, failed.getMessage());
         }
         reachable = false;
-        // Full jitter: a herd of daemons that lost the platform together must not return together.
-        TimeUnit.MILLISECONDS.sleep(ThreadLocalRandom.current().nextLong(pauseMillis) + 1);
-        pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, pauseMillis * 2);
+        // Full jitter: daemons that lost the platform together must not all retry at the same time.
+        TimeUnit.MILLISECONDS.sleep(ThreadLocalRandom.current().nextLong(maximumDelayMillis) + 1);
+        maximumDelayMillis = Math.min(MAXIMUM_RETRY_DELAY_MILLIS, maximumDelayMillis * 2);
     }
 
     @Override
--- a/daemon/src/main/java/org/bronzelug/daemon/control/ProbeService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/ProbeService.java
@@ -25,18 +25,18 @@
 import org.bronzelug.kernel.Service;
 
 /**
- * Probes other VMs, answers their probes, and brings the configuration level.
+ * Probes other VMs, answers their probes, and synchronizes the configuration with them.
  *
- * <p>One exchange carries liveness, freshness and, where the digests differ, the versions needed to
- * level the configuration; a round costs the same whatever the fleet's size. State is touched on
- * the control thread only.
+ * <p>One exchange carries liveness, freshness and, if the digests of the two configurations differ,
+ * the object versions needed to synchronize them. The number of probes in a round does not depend
+ * on the number of VMs. The control state is accessed on the control thread only.
  */
 @Singleton
 public final class ProbeService implements Service {
-    /** Under which the kernel knows this service. */
+    /** The name under which this service is registered with the kernel. */
     public static final String NAME = "probes";
 
-    private static final int PROBES_A_ROUND = 2;
+    private static final int PROBES_PER_ROUND = 2;
     private static final long TIMEOUT_MILLIS = 800;
 
     private final Settings settings;
@@ -60,9 +60,9 @@
         this.peers = peers;
         this.actions = actions;
         this.random = random;
-        peers.handle(Envelope.BodyCase.PROBE, this::answerProbe);
-        peers.handle(Envelope.BodyCase.FETCH_OBJECTS, this::answerFetch);
-        peers.handle(Envelope.BodyCase.PUSH_OBJECTS, this::answerPush);
+        peers.handle(Envelope.BodyCase.PROBE, this::handleProbe);
+        peers.handle(Envelope.BodyCase.FETCH_OBJECTS, this::handleFetch);
+        peers.handle(Envelope.BodyCase.PUSH_OBJECTS, this::handlePush);
     }
 
     @Override
@@ -77,93 +77,103 @@
 
     private void probeRound() {
         long now = System.nanoTime();
-        List<String> heard = new ArrayList<>();
-        List<String> unheard = new ArrayList<>();
+        List<String> recentlySeen = new ArrayList<>();
+        List<String> notRecentlySeen = new ArrayList<>();
         for (ControlView.PeerView peer : state.view().peers().values()) {
-            long silence = now - peer.lastSeenNanos();
-            boolean lately = silence <= ProbeTargets.REMEMBERED_NANOS;
-            (lately ? heard : unheard).add(peer.peerAddress());
+            long silenceNanos = now - peer.lastSeenNanos();
+            boolean recent = silenceNanos <= ProbeTargets.REMEMBERED_NANOS;
+            (recent ? recentlySeen : notRecentlySeen).add(peer.peerAddress());
         }
-        if (heard.isEmpty() && unheard.isEmpty()) {
-            unheard.addAll(settings.seedPeers());
+        if (recentlySeen.isEmpty() && notRecentlySeen.isEmpty()) {
+            notRecentlySeen.addAll(settings.seedPeers());
         }
-        MemberIndex roll = state.freshness().roll();
-        ProbeTargets.choose(heard, unheard, PROBES_A_ROUND, random)
-                .forEach(address -> probe(address, roll));
+        MemberIndex memberIndex = state.freshness().roll();
+        ProbeTargets.choose(recentlySeen, notRecentlySeen, PROBES_PER_ROUND, random)
+                .forEach(address -> probe(address, memberIndex));
         state.publish();
     }
 
-    private void probe(String address, MemberIndex roll) {
-        long sent = System.nanoTime();
+    private void probe(String address, MemberIndex memberIndex) {
+        long sentNanos = System.nanoTime();
         Probe probe =
                 Probe.newBuilder()
                         .setVm(state.self().vm())
                         .setIncarnation(state.self().incarnation())
                         .setDigest(state.configuration().digest())
-                        .setRollDigest(roll.digest())
+                        .setRollDigest(memberIndex.digest())
                         .build();
         peers.exchange(address, Envelope.newBuilder().setProbe(probe), TIMEOUT_MILLIS)
                 .whenComplete(
                         (envelope, failure) -> {
                             if (failure == null) {
                                 ProbeAnswer answer = envelope.getProbeAnswer();
-                                control.run(() -> takeAnswer(address, answer, roll, sent));
+                                control.run(
+                                        () ->
+                                                handleAnswer(
+                                                        address, answer, memberIndex, sentNanos));
                             }
                         });
     }
 
-    private void takeAnswer(String address, ProbeAnswer answer, MemberIndex roll, long sent) {
-        List<String> missing = missing(answer);
-        if (missing.isEmpty()) {
-            state.recordReport(PeerMessages.report(answer, roll), answer.getHeirOfList(), sent);
+    private void handleAnswer(
+            String address, ProbeAnswer answer, MemberIndex memberIndex, long sentNanos) {
+        List<String> keys = outdatedKeys(answer);
+        if (keys.isEmpty()) {
+            state.recordReport(
+                    PeerMessages.report(answer, memberIndex), answer.getHeirOfList(), sentNanos);
             return;
         }
-        FetchObjects fetch = FetchObjects.newBuilder().addAllKeys(missing).build();
+        FetchObjects fetch = FetchObjects.newBuilder().addAllKeys(keys).build();
         peers.exchange(address, Envelope.newBuilder().setFetchObjects(fetch), TIMEOUT_MILLIS)
                 .whenComplete(
                         (envelope, failure) -> {
                             if (failure == null) {
                                 Objects objects = envelope.getObjects();
-                                control.run(() -> takeObjects(objects, answer, roll, sent));
+                                control.run(
+                                        () ->
+                                                handleObjects(
+                                                        objects, answer, memberIndex, sentNanos));
                             }
                         });
     }
 
-    /** The keys of which the peer has newer versions than are here. */
-    private List<String> missing(ProbeAnswer answer) {
-        List<String> missing = new ArrayList<>();
+    /** Returns the keys of the objects of which the peer has a newer version than this VM. */
+    private List<String> outdatedKeys(ProbeAnswer answer) {
+        List<String> keys = new ArrayList<>();
         for (ObjectVersion version : answer.getVersionsList()) {
             if (state.configuration().version(version.getKey()) < version.getVersion()) {
-                missing.add(version.getKey());
+                keys.add(version.getKey());
             }
         }
-        return missing;
+        return keys;
     }
 
-    private void takeObjects(Objects objects, ProbeAnswer answer, MemberIndex roll, long sent) {
+    private void handleObjects(
+            Objects objects, ProbeAnswer answer, MemberIndex memberIndex, long sentNanos) {
         state.install(PeerMessages.toObjects(objects.getObjectsList()));
-        // The report counts only where all that it was based on has arrived.
-        if (missing(answer).isEmpty()) {
-            state.recordReport(PeerMessages.report(answer, roll), answer.getHeirOfList(), sent);
+        // Records the report only if all objects that it is based on have arrived.
+        if (outdatedKeys(answer).isEmpty()) {
+            state.recordReport(
+                    PeerMessages.report(answer, memberIndex), answer.getHeirOfList(), sentNanos);
         }
     }
 
-    private CompletableFuture<Envelope.Builder> answerProbe(Envelope request) {
+    private CompletableFuture<Envelope.Builder> handleProbe(Envelope request) {
         return control.ask(
                 () -> {
                     long now = System.nanoTime();
                     long digest = state.configuration().digest();
-                    MemberIndex roll = state.freshness().roll();
+                    MemberIndex memberIndex = state.freshness().roll();
                     ProbeReport report = state.freshness().report(now, state.isDraining());
                     ProbeAnswer.Builder answer =
-                            roll.digest() == request.getProbe().getRollDigest()
-                                    ? PeerMessages.packedAnswer(report, digest, roll)
+                            memberIndex.digest() == request.getProbe().getRollDigest()
+                                    ? PeerMessages.packedAnswer(report, digest, memberIndex)
                                     : PeerMessages.answer(report, digest);
                     if (digest != request.getProbe().getDigest()) {
                         answer.addAllVersions(versions(state.configuration().objects()));
                     }
-                    for (MemberIdentity former : actions.inheritedFrom()) {
-                        answer.addHeirOf(former.toString());
+                    for (MemberIdentity previousOwner : actions.previousOwners()) {
+                        answer.addHeirOf(previousOwner.toString());
                     }
                     return Envelope.newBuilder().setProbeAnswer(answer);
                 });
@@ -181,7 +191,7 @@
         return versions;
     }
 
-    private CompletableFuture<Envelope.Builder> answerFetch(Envelope request) {
+    private CompletableFuture<Envelope.Builder> handleFetch(Envelope request) {
         return control.ask(
                 () -> {
                     List<VersionedObject> found = new ArrayList<>();
@@ -196,7 +206,7 @@
                 });
     }
 
-    private CompletableFuture<Envelope.Builder> answerPush(Envelope request) {
+    private CompletableFuture<Envelope.Builder> handlePush(Envelope request) {
         return control.ask(
                 () -> {
                     state.install(
@@ -212,6 +222,6 @@
 
     @Override
     public void stop() {
-        // The probes end with the control thread.
+        // The control thread ends the probes when it stops.
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/control/package-info.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/package-info.java
@@ -1,2 +1,2 @@
-/** The control thread and the state it owns (DESIGN.md "Freshness", "Configuration"). */
+/** The control thread and the state that it owns (DESIGN.md "Freshness", "Configuration"). */
 package org.bronzelug.daemon.control;
--- a/daemon/src/main/java/org/bronzelug/daemon/package-info.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon of one VM: its start and its graceful stop. */
+/** The daemon of one VM: its start and its graceful shutdown. */
 package org.bronzelug.daemon;
