--- a/daemon/src/main/java/org/bronzelug/daemon/configuration/AuditTrail.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/configuration/AuditTrail.java
@@ -10,37 +10,40 @@
 /**
  * The audit entries inside the configuration objects.
  *
- * <p>Invariant: an entry and its change are one value, so there is no change without its entry. An
- * object keeps its newest entries. Stateless and thread-safe.
+ * <p>Invariant: a change and its audit entry are written as one value, so there is no change
+ * without its entry. An object keeps only its newest entries. Stateless and thread-safe.
  */
 public final class AuditTrail {
-    /** Entries kept in an object; an object must stay far below the platform's megabyte. */
-    public static final int ENTRIES_KEPT = 50;
+    /**
+     * The maximum number of entries in an object. Objects must stay far below the platform's limit
+     * of one megabyte.
+     */
+    public static final int MAXIMUM_ENTRIES = 50;
 
     private AuditTrail() {}
 
     public static void append(TeamObject.Builder team, AuditEntry entry) {
-        if (team.getAuditCount() >= ENTRIES_KEPT) {
+        if (team.getAuditCount() >= MAXIMUM_ENTRIES) {
             team.removeAudit(0);
         }
         team.addAudit(entry);
     }
 
     public static void append(PoolObject.Builder pool, AuditEntry entry) {
-        if (pool.getAuditCount() >= ENTRIES_KEPT) {
+        if (pool.getAuditCount() >= MAXIMUM_ENTRIES) {
             pool.removeAudit(0);
         }
         pool.addAudit(entry);
     }
 
     public static void append(RosterObject.Builder roster, AuditEntry entry) {
-        if (roster.getAuditCount() >= ENTRIES_KEPT) {
+        if (roster.getAuditCount() >= MAXIMUM_ENTRIES) {
             roster.removeAudit(0);
         }
         roster.addAudit(entry);
     }
 
-    /** The entries of an object of ours. */
+    /** Returns the audit entries of a configuration object; empty for objects without any. */
     public static List<AuditEntry> entries(String key, byte[] value)
             throws InvalidProtocolBufferException {
         if (key.startsWith(ObjectKeys.TEAM_PREFIX)) {
@@ -54,7 +57,7 @@
                 : List.of();
     }
 
-    /** Whether a value holds the entry of one write. */
+    /** Returns whether a value contains the audit entry that carries a write's mark. */
     public static boolean hasMark(String key, byte[] value, String mark) {
         try {
             return entries(key, value).stream().anyMatch(entry -> entry.getMark().equals(mark));
--- a/daemon/src/main/java/org/bronzelug/daemon/configuration/Catalog.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/configuration/Catalog.java
@@ -22,9 +22,10 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * The configuration in its own terms: teams, keys, pools, roster, claims.
+ * The configuration, parsed: teams, keys, pools, roster and claims.
  *
- * <p>Immutable, so traffic threads read it without a lock; a new one replaces it as a whole.
+ * <p>Immutable, so traffic threads read it without a lock; a changed configuration gets a new
+ * catalog.
  */
 public final class Catalog {
     private final Map<KeyDigest, String> teamsByKey = new HashMap<>();
@@ -34,12 +35,14 @@
     private final Map<Integer, Claim> shares = new TreeMap<>();
     private final Map<String, Claim> orders = new TreeMap<>();
 
-    /** A claim as committed: who holds it, at which version. */
+    /** A committed claim: its holder, and the version of its object. */
     public record Claim(long version, MemberIdentity holder) {}
 
     private Catalog() {}
 
-    /** The catalog of a configuration; objects that can't be read are left out and logged. */
+    /**
+     * Returns the catalog of a configuration. Objects that cannot be parsed are logged and omitted.
+     */
     public static Catalog of(ConfigurationState state) {
         Catalog catalog = new Catalog();
         for (VersionedObject object : state.objects()) {
@@ -83,7 +86,7 @@
         }
     }
 
-    /** The team of a key; empty for a key unknown or withdrawn. */
+    /** Returns the team of a key; empty if the key is unknown or withdrawn. */
     public Optional<String> teamOf(KeyDigest key) {
         return Optional.ofNullable(teamsByKey.get(key));
     }
@@ -104,7 +107,7 @@
         return pools.values();
     }
 
-    /** The pool whose runners serve a model. */
+    /** Returns the pool whose runners serve a model. */
     public Optional<PoolObject> poolOfModel(String model) {
         return pools.values().stream()
                 .filter(pool -> !model.isEmpty() && pool.getModel().equals(model))
--- a/daemon/src/main/java/org/bronzelug/daemon/configuration/ObjectKeys.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/configuration/ObjectKeys.java
@@ -1,8 +1,8 @@
 package org.bronzelug.daemon.configuration;
 
-/** The names of our objects in the platform's object API (docs/SCHEMA.md "Objects"). */
+/** The keys of the daemon's objects in the platform's object API (docs/SCHEMA.md "Objects"). */
 public final class ObjectKeys {
-    /** The VMs that count for a majority. */
+    /** The key of the roster: the VMs that count for a majority. */
     public static final String ROSTER = "roster";
 
     public static final String TEAM_PREFIX = "team/";
--- a/daemon/src/main/java/org/bronzelug/daemon/configuration/ObjectWriter.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/configuration/ObjectWriter.java
@@ -12,17 +12,18 @@
 import org.bronzelug.kernel.Pause;
 
 /**
- * Commits one value by conditional update, and finds out what happened where an answer was lost.
+ * Writes one value by a conditional update, and finds out its outcome if a response was lost.
  *
- * <p>The failure it guards against: the write took effect but its answer was lost; the writer tries
- * again, meets its own value as a conflict, and tells the operator that somebody else won. Each
- * value carries its writer's mark, so the writer knows its own when it reads the object back; and
- * the repeated write expects the same version, so it can't take effect twice. Thread-safe.
+ * <p>The failure this prevents: a write takes effect but its response is lost; the writer retries,
+ * gets a conflict with its own value, and reports to the operator that another writer was first.
+ * Each value therefore carries a random mark, by which the writer recognizes its own value when it
+ * reads the object back. A retried write expects the same version as the first attempt, so it
+ * cannot take effect twice. Thread-safe.
  */
 @Singleton
 public final class ObjectWriter {
-    private static final int TRIES = 5;
-    private static final long FIRST_PAUSE_MILLIS = 50;
+    private static final int MAXIMUM_ATTEMPTS = 5;
+    private static final long INITIAL_RETRY_DELAY_MILLIS = 50;
 
     private final PlatformClient platform;
 
@@ -31,53 +32,54 @@
         this.platform = platform;
     }
 
-    /** How a write ended. */
+    /** The outcome of a write. */
     public sealed interface Outcome {
-        /** The value is the object's. */
+        /** The value was written. */
         record Committed(VersionedObject object) implements Outcome {}
 
-        /** Another writer's value is there; this one was never written. */
+        /** Another writer changed the object first; the value was not written. */
         record Lost(long presentVersion) implements Outcome {}
 
-        /** The platform did not tell in time. */
+        /** The platform did not respond in time, so the value may have been written. */
         record Unknown(String reason) implements Outcome {}
     }
 
     /**
      * Writes a value.
      *
-     * @param expectedVersion that the object must still have
-     * @param isOurs recognises the writer's mark in a value read back
+     * @param expectedVersion the version that the object must still have
+     * @param isOwnValue recognizes the writer's mark in a value that was read back
      */
-    public Outcome write(String key, long expectedVersion, byte[] value, Predicate<byte[]> isOurs) {
+    public Outcome write(
+            String key, long expectedVersion, byte[] value, Predicate<byte[]> isOwnValue) {
         String reason = "";
-        for (int attempt = 0; attempt < TRIES; attempt++) {
+        for (int attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
             try {
                 return switch (platform.put(key, expectedVersion, value)) {
                     case WriteResult.Committed committed ->
                             new Outcome.Committed(
                                     new VersionedObject(key, committed.version(), value));
                     case WriteResult.Conflict conflict ->
-                            resolveConflict(key, conflict.presentVersion(), attempt, isOurs);
+                            resolveConflict(key, conflict.presentVersion(), attempt, isOwnValue);
                 };
             } catch (PlatformException failed) {
                 reason = failed.getMessage();
-                long longest = FIRST_PAUSE_MILLIS << attempt;
-                Pause.millis(ThreadLocalRandom.current().nextLong(longest) + 1);
+                long maximumDelayMillis = INITIAL_RETRY_DELAY_MILLIS << attempt;
+                Pause.millis(ThreadLocalRandom.current().nextLong(maximumDelayMillis) + 1);
             }
         }
         return new Outcome.Unknown(reason);
     }
 
     private Outcome resolveConflict(
-            String key, long presentVersion, int attempt, Predicate<byte[]> isOurs)
+            String key, long presentVersion, int attempt, Predicate<byte[]> isOwnValue)
             throws PlatformException {
         if (attempt == 0) {
             return new Outcome.Lost(presentVersion);
         }
-        Optional<VersionedObject> present = platform.get(key);
-        if (present.isPresent() && isOurs.test(present.get().value())) {
-            return new Outcome.Committed(present.get());
+        Optional<VersionedObject> current = platform.get(key);
+        if (current.isPresent() && isOwnValue.test(current.get().value())) {
+            return new Outcome.Committed(current.get());
         }
         return new Outcome.Lost(presentVersion);
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/configuration/package-info.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** What the configuration objects mean, and how operators change them. */
+/** The configuration objects, their contents and audit entries, and how they are written. */
 package org.bronzelug.daemon.configuration;
