--- a/daemon/src/main/java/org/bronzelug/daemon/limit/RateGate.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/limit/RateGate.java
@@ -21,18 +21,19 @@
 import org.bronzelug.kernel.Pause;
 
 /**
- * Reserves metered tokens for requests, here or at the VM that holds the team's rate.
+ * Reserves tokens of a team's rate for requests, on this VM or on the VM that holds the team's rate
+ * share (a group of teams' rates that one VM at a time admits from).
  *
- * <p>While a share moves, a request waits for the new holder as long as its caller allows, since it
- * may be within the team's rate; only a request beyond the rate is refused, and at once. A
- * reservation has an id, so asking again after a lost answer takes nothing twice.
+ * <p>While a share moves to another VM, a request waits for the new holder until its deadline,
+ * since it may be within the team's rate. A request beyond the rate is rejected immediately. Each
+ * reservation has an id, so a retry after a lost answer does not take tokens twice.
  *
  * <p>Blocking; called on traffic threads. Thread-safe.
  */
 @Singleton
 public final class RateGate {
-    private static final long EXCHANGE_MILLIS = 300;
-    private static final long RETRY_MILLIS = 50;
+    private static final long EXCHANGE_TIMEOUT_MILLIS = 300;
+    private static final long RETRY_DELAY_MILLIS = 50;
 
     private final ControlThread control;
     private final ControlState state;
@@ -43,30 +44,32 @@
         this.control = control;
         this.state = state;
         this.peers = peers;
-        peers.handle(Envelope.BodyCase.RESERVE, this::answerReserve);
-        peers.handle(Envelope.BodyCase.SETTLE, this::answerSettle);
+        peers.handle(Envelope.BodyCase.RESERVE, this::handleReserve);
+        peers.handle(Envelope.BodyCase.SETTLE, this::handleSettle);
     }
 
-    /** Reserves tokens; waits while the share moves, at most until the time given. */
-    public Admission reserve(String id, String team, double tokens, long untilNanos) {
+    /** Reserves tokens for a request; waits while the share moves, at most until the deadline. */
+    public Admission reserve(String id, String team, double tokens, long deadlineNanos) {
         while (true) {
             Admission admission = tryReserve(id, team, tokens);
-            boolean wait = admission instanceof Admission.NotHeld;
-            if (!wait || System.nanoTime() >= untilNanos) {
+            boolean shareMoving = admission instanceof Admission.NotHeld;
+            if (!shareMoving || System.nanoTime() >= deadlineNanos) {
                 return admission;
             }
-            Pause.millis(RETRY_MILLIS);
+            Pause.millis(RETRY_DELAY_MILLIS);
         }
     }
 
     private Admission tryReserve(String id, String team, double tokens) {
         Optional<String> address = addressOfHolder(team);
         if (address.isEmpty()) {
-            return control.ask(() -> reserveHere(id, team, tokens)).join();
+            return control.ask(() -> reserveLocally(id, team, tokens)).join();
         }
         Reserve reserve = Reserve.newBuilder().setId(id).setTeam(team).setTokens(tokens).build();
         return peers.exchange(
-                        address.get(), Envelope.newBuilder().setReserve(reserve), EXCHANGE_MILLIS)
+                        address.get(),
+                        Envelope.newBuilder().setReserve(reserve),
+                        EXCHANGE_TIMEOUT_MILLIS)
                 .handle(
                         (envelope, failure) ->
                                 failure == null
@@ -76,7 +79,8 @@
     }
 
     /**
-     * Empty where this VM itself holds the team's rate or answers for its holder, or nobody does.
+     * Returns the peer address of the VM that admits from a team's share. Empty if that is this VM,
+     * as the share's holder or the holder's successor, or if no VM holds the share.
      */
     private Optional<String> addressOfHolder(String team) {
         ControlView view = state.view();
@@ -86,7 +90,7 @@
                 .flatMap(view::addressOf);
     }
 
-    private Admission reserveHere(String id, String team, double tokens) {
+    private Admission reserveLocally(String id, String team, double tokens) {
         long now = System.nanoTime();
         Optional<TeamRate> rate = state.catalog().rate(team);
         if (rate.isEmpty()) {
@@ -96,7 +100,10 @@
         return state.shares().reserve(id, team, rate.get(), tokens, now, fresh);
     }
 
-    /** Ends a reservation at the amount used; a lost message leaves the rest unused, never more. */
+    /**
+     * Ends a reservation at the number of tokens used. If the message is lost, the team loses the
+     * unused rest of the reservation, and never gains tokens.
+     */
     public void settle(String id, String team, double used) {
         Optional<String> address = addressOfHolder(team);
         if (address.isEmpty()) {
@@ -104,23 +111,25 @@
             return;
         }
         Settle settle = Settle.newBuilder().setId(id).setTeam(team).setUsed(used).build();
-        CompletableFuture<Envelope> ignored =
+        CompletableFuture<Envelope> exchange =
                 peers.exchange(
-                        address.get(), Envelope.newBuilder().setSettle(settle), EXCHANGE_MILLIS);
-        ignored.exceptionally(failure -> null);
+                        address.get(),
+                        Envelope.newBuilder().setSettle(settle),
+                        EXCHANGE_TIMEOUT_MILLIS);
+        exchange.exceptionally(failure -> null);
     }
 
-    private CompletableFuture<Envelope.Builder> answerReserve(Envelope request) {
+    private CompletableFuture<Envelope.Builder> handleReserve(Envelope request) {
         Reserve reserve = request.getReserve();
         return control.ask(
                 () -> {
                     Admission admission =
-                            reserveHere(reserve.getId(), reserve.getTeam(), reserve.getTokens());
+                            reserveLocally(reserve.getId(), reserve.getTeam(), reserve.getTokens());
                     return Envelope.newBuilder().setReserved(toMessage(admission));
                 });
     }
 
-    private CompletableFuture<Envelope.Builder> answerSettle(Envelope request) {
+    private CompletableFuture<Envelope.Builder> handleSettle(Envelope request) {
         Settle settle = request.getSettle();
         return control.ask(
                 () -> {
--- a/daemon/src/main/java/org/bronzelug/daemon/limit/package-info.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Admission by the teams' rates, here or at the VM that holds them. */
+/** Admission of requests by their teams' rates, on this VM or on the VM that holds the rate. */
 package org.bronzelug.daemon.limit;
