--- a/daemon/src/main/java/org/bronzelug/daemon/generate/ChunkSink.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/generate/ChunkSink.java
@@ -1,17 +1,20 @@
 package org.bronzelug.daemon.generate;
 
-/** Where a stream's chunks go: the caller's connection. */
+/** Receives the chunks of a stream: the connection to the caller. */
 public interface ChunkSink {
     /**
-     * Sends a chunk, waiting while the caller is slow.
+     * Sends a chunk; blocks while the caller is slow to read.
      *
-     * @return false once the caller is gone
+     * @return false once the caller has cancelled or disconnected
      */
     boolean send(int offset, String text);
 
-    /** Sets what to do, once, when the caller goes; at once where it has gone already. */
+    /**
+     * Sets an action that runs once when the caller cancels or disconnects; it runs immediately if
+     * that has happened already.
+     */
     void onCancel(Runnable action);
 
-    /** Whether the caller has gone. */
+    /** Returns whether the caller has cancelled or disconnected. */
     boolean isCancelled();
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/generate/GenerateService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/generate/GenerateService.java
@@ -36,15 +36,16 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * Serves generations: admits, queues, places, streams, and moves a stream whose runner fails.
+ * Serves generations: admits them, queues them, places them on runners, streams their chunks, and
+ * moves a stream to another runner if its runner fails.
  *
- * <p>Blocking; each generation runs on its caller's thread. Thread-safe.
+ * <p>Blocking; each generation runs on the thread that calls {@link #generate}. Thread-safe.
  */
 @Singleton
 public final class GenerateService {
     private static final int MAXIMUM_ATTEMPTS = 6;
     private static final long RETRY_AFTER_MILLIS = 1_000;
-    private static final long FAILED_PAUSE_MILLIS = 20;
+    private static final long RETRY_DELAY_MILLIS = 20;
 
     private final Settings settings;
     private final ControlState state;
@@ -52,7 +53,7 @@
     private final RateGate rates;
     private final EndpointDirectory directory;
     private final RunnerClient client;
-    private final DaemonMetrics measures;
+    private final DaemonMetrics metrics;
     private final PlacementPolicy policy = new PlacementPolicy(PlacementSettings.defaults());
     private final Map<String, ModelQueue> queues = new ConcurrentHashMap<>();
     private final Map<String, Generation> running = new ConcurrentHashMap<>();
@@ -65,23 +66,24 @@
             RateGate rates,
             EndpointDirectory directory,
             RunnerClient client,
-            DaemonMetrics measures) {
+            DaemonMetrics metrics) {
         this.settings = settings;
         this.state = state;
         this.keys = keys;
         this.rates = rates;
         this.directory = directory;
         this.client = client;
-        this.measures = measures;
-        directory.onReplaced(endpoint -> queues.values().forEach(queue -> queue.forget(endpoint)));
-        directory.onChanged(() -> queues.values().forEach(ModelQueue::pump));
+        this.metrics = metrics;
+        directory.onReplaced(
+                endpoint -> queues.values().forEach(queue -> queue.clearCacheEstimate(endpoint)));
+        directory.onChanged(() -> queues.values().forEach(ModelQueue::dispatch));
     }
 
-    /** Serves one generation to its end. */
+    /** Serves one generation until it ends. */
     public GenerationResult generate(KeyDigest key, GenerateRequest request, ChunkSink sink)
             throws RejectionException, InterruptedException {
         String team = keys.teamOf(key);
-        check(request);
+        validate(request);
         PoolObject pool = pool(request.getModel());
         Generation generation = prepare(team, pool, request, sink);
         String reservation = reserve(generation, request);
@@ -95,7 +97,7 @@
         }
     }
 
-    private static void check(GenerateRequest request) throws RejectionException {
+    private static void validate(GenerateRequest request) throws RejectionException {
         boolean valid =
                 !request.getRequestId().isEmpty()
                         && request.getSegmentsCount() > 0
@@ -154,13 +156,13 @@
         Admission admission =
                 rates.reserve(id, generation.team(), tokens, generation.deadlineNanos());
         switch (admission) {
-            case Admission.Granted granted -> measures.admitted(generation.team());
+            case Admission.Granted granted -> metrics.admitted(generation.team());
             case Admission.OverRate over -> {
-                measures.overRate(generation.team());
+                metrics.overRate(generation.team());
                 throw overRate(over.retryAfterNanos());
             }
             case Admission.NotHeld notHeld -> {
-                measures.rateUnavailable(generation.team());
+                metrics.rateUnavailable(generation.team());
                 throw RejectionException.notRun(
                         ProblemCode.RATE_UNAVAILABLE,
                         "the VM that holds the team's rate is being replaced",
@@ -189,8 +191,8 @@
     private void settle(String reservation, Generation generation, GenerateRequest request) {
         int produced = generation.progress().nextOffset() - request.getStartOffset();
         boolean started = generation.progress().attempts() > 0;
-        double used = started ? generation.chain().tokens() + produced : 0;
-        rates.settle(reservation, generation.team(), used);
+        double usedTokens = started ? generation.chain().tokens() + produced : 0;
+        rates.settle(reservation, generation.team(), usedTokens);
     }
 
     private GenerationResult run(
@@ -198,7 +200,7 @@
             throws RejectionException, InterruptedException {
         ModelQueue queue = queue(pool.getPool());
         Set<String> avoided = new HashSet<>();
-        long arrived = System.nanoTime();
+        long arrivalNanos = System.nanoTime();
         for (int attempt = 1; attempt <= MAXIMUM_ATTEMPTS; attempt++) {
             ModelQueue.Slot slot =
                     queue.acquire(
@@ -207,11 +209,12 @@
                             avoided,
                             generation.deadlineNanos(),
                             generation.cancelled());
-            // The key may have been withdrawn, or this VM cut off, while the request waited.
+            // Checks the key again: while the request waited, the key may have been withdrawn or
+            // this VM may have become stale.
             try {
                 keys.teamOf(key);
-                Attempt run = new Attempt(generation, queue, slot, arrived);
-                Optional<GenerationResult> result = run.execute(request);
+                Attempt runnerAttempt = new Attempt(generation, queue, slot, arrivalNanos);
+                Optional<GenerationResult> result = runnerAttempt.execute(request);
                 if (result.isPresent()) {
                     return result.get();
                 }
@@ -220,18 +223,18 @@
                 queue.release(slot.endpoint());
             }
             avoided.add(slot.endpoint().name());
-            refuseIfOver(generation);
-            TimeUnit.MILLISECONDS.sleep(FAILED_PAUSE_MILLIS);
+            rejectIfCancelledOrExpired(generation);
+            TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MILLIS);
         }
         throw failed(generation, "all attempts failed", ProblemCode.ENDPOINTS_FAILED);
     }
 
-    private void refuseIfOver(Generation generation) throws RejectionException {
+    private void rejectIfCancelledOrExpired(Generation generation) throws RejectionException {
         if (generation.isCancelled()) {
             throw failed(generation, "the caller cancelled", ProblemCode.CANCELLED);
         }
-        boolean begun = generation.progress().textSoFar().isPresent();
-        if (!begun && System.nanoTime() > generation.deadlineNanos()) {
+        boolean firstChunkReceived = generation.progress().textSoFar().isPresent();
+        if (!firstChunkReceived && System.nanoTime() > generation.deadlineNanos()) {
             throw failed(generation, "no chunk before the deadline", ProblemCode.DEADLINE);
         }
     }
@@ -264,7 +267,7 @@
                                 policy));
     }
 
-    /** Cancels a generation of a team, if it runs here. */
+    /** Cancels a generation of a team; returns false if it does not run on this VM. */
     public boolean cancel(String team, String requestId) {
         Generation generation = running.get(team + "/" + requestId);
         if (generation == null) {
@@ -274,22 +277,23 @@
         return true;
     }
 
-    /** The requests in progress. */
+    /** Returns the number of generations in progress. */
     public int running() {
         return running.size();
     }
 
-    /** One attempt on one runner. Used by one thread. */
+    /** One attempt at one runner. Confined to one thread. */
     private final class Attempt implements CompletionListener {
         private final Generation generation;
         private final ModelQueue queue;
         private final ModelQueue.Slot slot;
-        private final long arrivedNanos;
+        private final long arrivalNanos;
         private final int queuedTokens;
 
         /**
-         * What the runner knows this attempt by. Not the caller's id: the caller may go on at
-         * another VM with the same id, and a cancel sent for the broken attempt would end that one.
+         * The request id sent to the runner, different for each attempt. With the caller's id,
+         * which the caller may use again to resume the stream through another VM, the cancellation
+         * of a failed attempt could end the resumed stream.
          */
         private final String runnerRequestId;
 
@@ -299,16 +303,17 @@
         private int cachedTokens;
 
         private Attempt(
-                Generation generation, ModelQueue queue, ModelQueue.Slot slot, long arrivedNanos) {
+                Generation generation, ModelQueue queue, ModelQueue.Slot slot, long arrivalNanos) {
             this.generation = generation;
             this.queue = queue;
             this.slot = slot;
-            this.arrivedNanos = arrivedNanos;
+            this.arrivalNanos = arrivalNanos;
             this.runnerRequestId = generation.requestId() + "." + UUID.randomUUID();
-            this.queuedTokens = ModelQueue.missingTokens(generation.chain(), slot.placement());
+            this.queuedTokens =
+                    ModelQueue.expectedPrefillTokens(generation.chain(), slot.placement());
         }
 
-        /** The result; empty where the stream must go on with another attempt. */
+        /** Runs the attempt. Returns the result, or empty if the stream needs another attempt. */
         private Optional<GenerationResult> execute(GenerateRequest request) {
             attempt = generation.progress().startAttempt();
             try {
@@ -318,7 +323,7 @@
                         LogEvent.STREAM_MOVED,
                         "request " + generation.requestId() + ", reason: " + failed.getMessage());
             } finally {
-                notePrefilled();
+                recordPrefilled();
             }
             if (generation.isCancelled()) {
                 client.cancel(slot.endpoint(), runnerRequestId);
@@ -341,14 +346,14 @@
 
         @Override
         public boolean chunk(int offset, String text) throws StreamGapException {
-            notePrefilled();
+            recordPrefilled();
             if (generation.isCancelled()) {
                 return false;
             }
             boolean first = generation.progress().textSoFar().isEmpty();
             if (generation.progress().accept(attempt.number(), offset, text)) {
                 if (first) {
-                    measures.firstToken(generation.team(), System.nanoTime() - arrivedNanos);
+                    metrics.firstToken(generation.team(), System.nanoTime() - arrivalNanos);
                 }
                 return generation.sink().send(offset, text);
             }
@@ -356,16 +361,17 @@
         }
 
         @Override
-        public void end(int foundTokens, EndpointReport report) {
-            notePrefilled();
+        public void end(int runnerCachedTokens, EndpointReport report) {
+            recordPrefilled();
             ended = generation.progress().finish(attempt.number());
-            cachedTokens = foundTokens;
-            queue.learn(slot, generation.chain(), foundTokens);
+            cachedTokens = runnerCachedTokens;
+            queue.recordCompletion(slot, generation.chain(), runnerCachedTokens);
             directory.report(slot.endpoint(), report);
-            measures.prefilled(generation.chain().tokens(), foundTokens, attempt.number() > 1);
+            metrics.prefilled(
+                    generation.chain().tokens(), runnerCachedTokens, attempt.number() > 1);
         }
 
-        private void notePrefilled() {
+        private void recordPrefilled() {
             if (!prefilled) {
                 prefilled = true;
                 slot.endpoint().prefilled(queuedTokens);
--- a/daemon/src/main/java/org/bronzelug/daemon/generate/Generation.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/generate/Generation.java
@@ -7,7 +7,8 @@
 /**
  * One generation in progress. Thread-safe.
  *
- * <p>The deadline counts until the first chunk; after it, the runners' silence limit watches.
+ * <p>The deadline applies until the first chunk arrives. After that, only the time that a runner
+ * may be silent is limited.
  */
 final class Generation {
     private final String team;
@@ -69,7 +70,7 @@
         cancelled.complete(null);
     }
 
-    /** Completes when the caller cancels or goes away. */
+    /** Returns a future that completes when the caller cancels or disconnects. */
     CompletableFuture<Void> cancelled() {
         return cancelled;
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/generate/GenerationResult.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/generate/GenerationResult.java
@@ -1,10 +1,10 @@
 package org.bronzelug.daemon.generate;
 
 /**
- * How a generation ended.
+ * The result of a complete generation.
  *
  * @param chunks the number of the last chunk plus one
- * @param cachedTokens prompt tokens that the last attempt found cached
+ * @param cachedTokens the prompt tokens that the last attempt found in the runner's cache
  */
 public record GenerationResult(
         int chunks, int promptTokens, int cachedTokens, String runner, int attempts) {}
--- a/daemon/src/main/java/org/bronzelug/daemon/generate/ModelQueue.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/generate/ModelQueue.java
@@ -21,97 +21,99 @@
 import org.bronzelug.daemon.runner.Endpoint;
 
 /**
- * The requests for one pool that wait for a runner, and the placement of the next one.
+ * Queues the requests for one pool until a runner has a free slot, and chooses the runner of each.
  *
- * <p>Invariant: a request is given to an endpoint only if the endpoint is usable at that moment and
- * has a free slot; each slot given is given back once. Thread-safe under its own lock.
+ * <p>Invariant: a request is dispatched to an endpoint only if the endpoint is usable at that
+ * moment and has a free slot; each granted slot is released exactly once. Thread-safe under its own
+ * lock.
  */
 final class ModelQueue {
     private static final int TRACKED_PREFIXES_PER_RUNNER = 20_000;
-    private static final long BELIEF_NANOS = TimeUnit.SECONDS.toNanos(30);
-    private static final int RECENT_WAITS = 8;
+    private static final long CACHE_ENTRY_LIFETIME_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final int AVERAGED_WAITS = 8;
 
     private final String pool;
     private final int slotsPerRunner;
-    private final Supplier<List<Endpoint>> usable;
+    private final Supplier<List<Endpoint>> usableEndpoints;
     private final PlacementPolicy policy;
     private final FairQueue<Waiter> queue;
     private final CacheEstimate cacheEstimate =
-            new CacheEstimate(TRACKED_PREFIXES_PER_RUNNER, BELIEF_NANOS, System.nanoTime());
-    private final Map<Endpoint, Integer> used = new HashMap<>();
-    private double recentWaitNanos;
+            new CacheEstimate(
+                    TRACKED_PREFIXES_PER_RUNNER, CACHE_ENTRY_LIFETIME_NANOS, System.nanoTime());
+    private final Map<Endpoint, Integer> slotsInUse = new HashMap<>();
+    private double averageWaitNanos;
 
     ModelQueue(
             String pool,
             int slotsPerRunner,
             int capacity,
-            Supplier<List<Endpoint>> usable,
+            Supplier<List<Endpoint>> usableEndpoints,
             PlacementPolicy policy) {
         this.pool = pool;
         this.slotsPerRunner = slotsPerRunner;
-        this.usable = usable;
+        this.usableEndpoints = usableEndpoints;
         this.policy = policy;
         this.queue = new FairQueue<>(capacity);
     }
 
-    /** A runner's slot, given to one attempt. */
+    /** A slot of a runner, granted to one attempt. */
     record Slot(Endpoint endpoint, Placement placement) {}
 
-    /** One request that waits. */
+    /** A queued request. */
     private record Waiter(PrefixChain chain, Set<String> avoided, CompletableFuture<Slot> slot) {}
 
     /**
-     * Waits for a slot in fair order.
+     * Waits for a slot. The slots are granted in fair order between the teams.
      *
-     * @param avoided endpoints that failed this request; used only if there is no other
-     * @param cancelled completes when the caller gives the request up
+     * @param avoided the endpoints at which this request failed; used only if no other is free
+     * @param cancelled completes when the caller cancels the request
      */
     Slot acquire(
             String team,
             PrefixChain chain,
             Set<String> avoided,
-            long untilNanos,
+            long deadlineNanos,
             CompletableFuture<Void> cancelled)
             throws RejectionException, InterruptedException {
-        long arrived = System.nanoTime();
+        long arrivalNanos = System.nanoTime();
         Waiter waiter = new Waiter(chain, Set.copyOf(avoided), new CompletableFuture<>());
         enqueue(team, waiter);
         cancelled.thenRun(() -> waiter.slot.cancel(false));
-        pump();
+        dispatch();
         try {
-            long left = Math.max(0, untilNanos - System.nanoTime());
-            Slot slot = waiter.slot.get(left, TimeUnit.NANOSECONDS);
-            noteWait(System.nanoTime() - arrived);
+            long remainingNanos = Math.max(0, deadlineNanos - System.nanoTime());
+            Slot slot = waiter.slot.get(remainingNanos, TimeUnit.NANOSECONDS);
+            recordWait(System.nanoTime() - arrivalNanos);
             return slot;
-        } catch (TimeoutException late) {
-            giveUp(team, waiter);
+        } catch (TimeoutException deadlinePassed) {
+            endWait(team, waiter);
             throw RejectionException.notRun(
                     ProblemCode.DEADLINE,
                     "no runner was free before the deadline",
                     "come back later, or allow a longer deadline",
                     retryAfterMillis());
-        } catch (CancellationException givenUp) {
-            giveUp(team, waiter);
+        } catch (CancellationException callerCancelled) {
+            endWait(team, waiter);
             throw RejectionException.notRun(
                     ProblemCode.CANCELLED, "the caller cancelled", "ask again if need be", 0);
-        } catch (InterruptedException stopping) {
-            giveUp(team, waiter);
-            throw stopping;
-        } catch (ExecutionException displaced) {
-            throw (RejectionException) displaced.getCause();
+        } catch (InterruptedException interrupted) {
+            endWait(team, waiter);
+            throw interrupted;
+        } catch (ExecutionException rejected) {
+            throw (RejectionException) rejected.getCause();
         }
     }
 
     private void enqueue(String team, Waiter waiter) {
-        Optional<Waiter> givenUp;
+        Optional<Waiter> displaced;
         synchronized (this) {
-            givenUp = queue.offer(team, waiter, waiter.chain.tokens());
+            displaced = queue.offer(team, waiter, waiter.chain.tokens());
         }
-        givenUp.ifPresent(
-                displaced -> displaced.slot.completeExceptionally(tooMany(retryAfterMillis())));
+        displaced.ifPresent(
+                rejected -> rejected.slot.completeExceptionally(overloaded(retryAfterMillis())));
     }
 
-    private RejectionException tooMany(long retryAfterMillis) {
+    private RejectionException overloaded(long retryAfterMillis) {
         return RejectionException.notRun(
                 ProblemCode.OVERLOADED,
                 "too many requests wait for pool " + pool,
@@ -120,66 +122,69 @@
     }
 
     /**
-     * Ends a wait. The slot may be granted in this very moment: whoever comes second to the
-     * waiter's future, this or {@link #grant}, gives the slot back, so that it is done exactly
-     * once.
+     * Ends a wait without a slot. A slot may be granted at the same moment: of this method and
+     * {@link #grant}, the one that reaches the waiter's future second releases the slot, so it is
+     * released exactly once.
      */
-    private void giveUp(String team, Waiter waiter) {
+    private void endWait(String team, Waiter waiter) {
         synchronized (this) {
             queue.remove(team, waiter);
         }
         boolean granted = !waiter.slot.cancel(false);
         if (granted) {
-            giveBackUnused(waiter, waiter.slot.join());
+            releaseUnused(waiter, waiter.slot.join());
         }
     }
 
     private void grant(Waiter waiter, Slot slot) {
         if (!waiter.slot.complete(slot)) {
-            giveBackUnused(waiter, slot);
+            releaseUnused(waiter, slot);
         }
     }
 
-    private void giveBackUnused(Waiter waiter, Slot slot) {
-        slot.endpoint.prefilled(missingTokens(waiter, slot.placement));
+    private void releaseUnused(Waiter waiter, Slot slot) {
+        slot.endpoint.prefilled(expectedPrefillTokens(waiter, slot.placement));
         slot.endpoint.end();
         release(slot.endpoint);
     }
 
-    /** Gives a slot back. */
+    /** Releases a slot of an endpoint. */
     void release(Endpoint endpoint) {
         synchronized (this) {
-            used.merge(endpoint, -1, Integer::sum);
-            used.remove(endpoint, 0);
+            slotsInUse.merge(endpoint, -1, Integer::sum);
+            slotsInUse.remove(endpoint, 0);
         }
-        pump();
+        dispatch();
     }
 
-    /** Places requests as long as there are free slots; called for each report of an endpoint. */
-    void pump() {
-        List<Runnable> granted = new ArrayList<>();
+    /**
+     * Dispatches queued requests while there are free slots. Called when a request is queued, a
+     * slot is released or an endpoint may have become usable.
+     */
+    void dispatch() {
+        List<Runnable> grants = new ArrayList<>();
         synchronized (this) {
             if (queue.size() == 0) {
                 return;
             }
             Map<String, Endpoint> free = freeEndpoints();
             while (!free.isEmpty()) {
-                Optional<Waiter> next = queue.poll();
-                if (next.isEmpty()) {
+                Optional<Waiter> nextWaiter = queue.poll();
+                if (nextWaiter.isEmpty()) {
                     break;
                 }
-                Slot slot = place(next.get(), free);
-                granted.add(() -> grant(next.get(), slot));
+                Slot slot = place(nextWaiter.get(), free);
+                grants.add(() -> grant(nextWaiter.get(), slot));
                 free = freeEndpoints();
             }
         }
-        granted.forEach(Runnable::run);
+        grants.forEach(Runnable::run);
     }
 
     private Map<String, Endpoint> freeEndpoints() {
         Map<String, Endpoint> free = new HashMap<>();
-        for (Endpoint endpoint : usable.get()) {
-            if (used.getOrDefault(endpoint, 0) < slotsPerRunner) {
+        for (Endpoint endpoint : usableEndpoints.get()) {
+            if (slotsInUse.getOrDefault(endpoint, 0) < slotsPerRunner) {
                 free.put(endpoint.name(), endpoint);
             }
         }
@@ -199,23 +204,23 @@
         long now = System.nanoTime();
         Placement placement = policy.choose(waiter.chain, loads, cacheEstimate, now).orElseThrow();
         Endpoint endpoint = free.get(placement.runner());
-        used.merge(endpoint, 1, Integer::sum);
-        endpoint.begin(missingTokens(waiter, placement));
+        slotsInUse.merge(endpoint, 1, Integer::sum);
+        endpoint.begin(expectedPrefillTokens(waiter, placement));
         cacheEstimate.recordCached(placement.runner(), placement.incarnation(), waiter.chain, now);
         return new Slot(endpoint, placement);
     }
 
-    /** The tokens that a placed request is expected to prefill. */
-    static int missingTokens(PrefixChain chain, Placement placement) {
+    /** Returns the prompt tokens that a placed request is expected to prefill. */
+    static int expectedPrefillTokens(PrefixChain chain, Placement placement) {
         return Math.max(0, chain.tokens() - placement.estimatedCachedTokens());
     }
 
-    private static int missingTokens(Waiter waiter, Placement placement) {
-        return missingTokens(waiter.chain, placement);
+    private static int expectedPrefillTokens(Waiter waiter, Placement placement) {
+        return expectedPrefillTokens(waiter.chain, placement);
     }
 
-    /** Learns from a runner what it really found in its cache. */
-    synchronized void learn(Slot slot, PrefixChain chain, int cachedTokens) {
+    /** Updates the cache estimate with the number of prompt tokens that a runner found cached. */
+    synchronized void recordCompletion(Slot slot, PrefixChain chain, int cachedTokens) {
         String runner = slot.placement.runner();
         String incarnation = slot.placement.incarnation();
         if (cachedTokens < slot.placement.estimatedCachedTokens()) {
@@ -224,17 +229,20 @@
         cacheEstimate.recordCached(runner, incarnation, chain, System.nanoTime());
     }
 
-    /** Forgets what an endpoint had cached. */
-    synchronized void forget(Endpoint endpoint) {
+    /** Clears the cache estimate of an endpoint. */
+    synchronized void clearCacheEstimate(Endpoint endpoint) {
         cacheEstimate.forget(endpoint.name());
     }
 
-    private synchronized void noteWait(long nanos) {
-        recentWaitNanos += (nanos - recentWaitNanos) / RECENT_WAITS;
+    private synchronized void recordWait(long nanos) {
+        averageWaitNanos += (nanos - averageWaitNanos) / AVERAGED_WAITS;
     }
 
-    /** When a request that was given up should come back: after a wait as of late. */
+    /**
+     * Returns the delay after which a caller may retry a rejected request: twice the recent average
+     * wait, at least 100 ms.
+     */
     private synchronized long retryAfterMillis() {
-        return Math.max(100, TimeUnit.NANOSECONDS.toMillis((long) recentWaitNanos) * 2);
+        return Math.max(100, TimeUnit.NANOSECONDS.toMillis((long) averageWaitNanos) * 2);
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/generate/RejectionException.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/generate/RejectionException.java
@@ -3,7 +3,10 @@
 import org.bronzelug.api.Execution;
 import org.bronzelug.api.Problem;
 
-/** A request gets its final answer: why, whether it ran, when to come back, and the remedy. */
+/**
+ * Thrown if a request is rejected or fails. The problem states the reason, whether the request ran,
+ * when to retry, and the remedy.
+ */
 public final class RejectionException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -18,7 +21,7 @@
         return problem;
     }
 
-    /** A refusal of a request that did not run. */
+    /** Returns the rejection of a request that did not run. */
     public static RejectionException notRun(
             ProblemCode code, String message, String remedy, long retryAfterMillis) {
         return new RejectionException(
--- a/daemon/src/main/java/org/bronzelug/daemon/generate/package-info.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/generate/package-info.java
@@ -1,2 +1,5 @@
-/** Generations: admitted, queued fairly, placed, streamed, and moved when a runner fails. */
+/**
+ * Generations: admission, fair queueing, placement on runners, streaming, and the move to another
+ * runner after a failure.
+ */
 package org.bronzelug.daemon.generate;
--- a/daemon/src/test/java/org/bronzelug/daemon/generate/ModelQueueTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/generate/ModelQueueTest.java
@@ -183,7 +183,7 @@
 
     private ModelQueue.Slot first() throws Exception {
         ModelQueue.Slot slot = acquire(inSeconds(30), never);
-        endpoint.prefilled(ModelQueue.missingTokens(CHAIN, slot.placement()));
+        endpoint.prefilled(ModelQueue.expectedPrefillTokens(CHAIN, slot.placement()));
         return slot;
     }
 }
