--- a/measurement/src/main/java/org/bronzelug/measure/Fault.java
+++ b/measurement/src/main/java/org/bronzelug/measure/Fault.java
@@ -1,15 +1,15 @@
 package org.bronzelug.measure;
 
-/** What goes wrong in the middle of a run. */
+/** A fault injected in the middle of a simulated run. */
 enum Fault {
     NONE("none"),
-    /** One runner crashes and comes back empty. */
+    /** One runner crashes and restarts with an empty cache. */
     RUNNER_CRASH("runner-crash"),
-    /** Half of the runners leave within 5 s. */
+    /** Half of the runners, all those of one partner, leave within 5 s. */
     PARTNER_LEAVES("partner-leaves"),
-    /** All daemons restart at once and remember nothing. */
+    /** All daemons restart at once and lose their in-memory state. */
     RESTART_ALL("restart-all"),
-    /** All daemons restart while the partner leaves. */
+    /** {@link #RESTART_ALL} and {@link #PARTNER_LEAVES} at the same time. */
     TWO_TOGETHER("restart-and-partner");
 
     private final String label;
--- a/measurement/src/main/java/org/bronzelug/measure/LiveMeasurement.java
+++ b/measurement/src/main/java/org/bronzelug/measure/LiveMeasurement.java
@@ -30,21 +30,22 @@
 import org.bronzelug.client.Credential;
 
 /**
- * The time that the router adds, against a direct connection to a runner in the same run, with real
- * processes on loopback. Requests go one at a time, in turns. Not thread-safe.
+ * Measures the latency that the router adds, by comparing requests through a VM with requests sent
+ * directly to a runner, with real processes on loopback. Sends one request at a time, alternating
+ * between the two routes, so that both are measured under the same conditions. Not thread-safe.
  */
 final class LiveMeasurement {
     private static final String TEAM = "measure";
     private static final String MODEL = "faq";
-    private static final int WARM_UP = 600;
-    private static final int REQUESTS = 200;
-    private static final int TOKENS = 6;
-    private static final long HIGHEST_NANOS = 10_000_000_000L;
+    private static final int WARM_UP_REQUESTS = 600;
+    private static final int REQUESTS_PER_ROUND = 200;
+    private static final int OUTPUT_TOKENS = 6;
+    private static final long MAXIMUM_NANOS = 10_000_000_000L;
 
     private final ObjectMapper json = new ObjectMapper();
     private final HttpClient http =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private final List<String> shared = List.of("rules ".repeat(400), "sheet ".repeat(200));
+    private final List<String> sharedSegments = List.of("rules ".repeat(400), "sheet ".repeat(200));
     private final String runner;
     private final RouterGrpc.RouterBlockingStub router;
 
@@ -53,18 +54,20 @@
         this.router = router;
     }
 
-    /** The times of one way. */
-    private record Times(Histogram firstToken, Histogram between) {
-        Times() {
-            this(new Histogram(HIGHEST_NANOS, 3), new Histogram(HIGHEST_NANOS, 3));
+    /** The latencies of one route, direct or through a VM. */
+    private record Latencies(Histogram firstToken, Histogram betweenTokens) {
+        Latencies() {
+            this(new Histogram(MAXIMUM_NANOS, 3), new Histogram(MAXIMUM_NANOS, 3));
         }
     }
 
     /**
-     * Measures a running system.
+     * Measures a running system and prints the latencies.
      *
-     * @param vm where one of its VMs listens for callers
+     * @param vm the address at which one of its VMs listens for callers
+     * @param operatorSecret the file that holds the operators' secret
      * @param runner the address of one of its model runners
+     * @param rounds the number of measured rounds
      */
     static void run(PrintStream out, String vm, Path operatorSecret, String runner, int rounds)
             throws IOException, InterruptedException {
@@ -95,60 +98,61 @@
     }
 
     private void compare(PrintStream out, int rounds) throws IOException, InterruptedException {
-        measure(new Times(), new Times(), WARM_UP);
-        List<Times> direct = new ArrayList<>();
-        List<Times> routed = new ArrayList<>();
+        sendRequests(new Latencies(), new Latencies(), WARM_UP_REQUESTS);
+        List<Latencies> direct = new ArrayList<>();
+        List<Latencies> routed = new ArrayList<>();
         for (int round = 0; round < rounds; round++) {
-            direct.add(new Times());
-            routed.add(new Times());
-            measure(direct.getLast(), routed.getLast(), REQUESTS);
+            direct.add(new Latencies());
+            routed.add(new Latencies());
+            sendRequests(direct.getLast(), routed.getLast(), REQUESTS_PER_ROUND);
         }
         out.printf(
                 "%d rounds of %d requests each way, %d tokens; ms, median (least–most) of rounds%n",
-                rounds, REQUESTS, TOKENS);
+                rounds, REQUESTS_PER_ROUND, OUTPUT_TOKENS);
         out.printf("%-26s %-24s %-24s %-24s%n", "", "direct", "through a VM", "added");
         for (double percentile : new double[] {50, 99}) {
-            row(out, "first token p" + (int) percentile, direct, routed, true, percentile);
-            row(out, "between tokens p" + (int) percentile, direct, routed, false, percentile);
+            printRow(out, "first token p" + (int) percentile, direct, routed, true, percentile);
+            printRow(out, "between tokens p" + (int) percentile, direct, routed, false, percentile);
         }
     }
 
-    private static void row(
+    private static void printRow(
             PrintStream out,
             String name,
-            List<Times> direct,
-            List<Times> routed,
-            boolean first,
+            List<Latencies> direct,
+            List<Latencies> routed,
+            boolean isFirst,
             double percentile) {
-        List<Double> own = new ArrayList<>();
-        List<Double> with = new ArrayList<>();
-        List<Double> added = new ArrayList<>();
+        List<Double> directMillis = new ArrayList<>();
+        List<Double> routedMillis = new ArrayList<>();
+        List<Double> addedMillis = new ArrayList<>();
         for (int round = 0; round < direct.size(); round++) {
-            own.add(millis(direct.get(round), first, percentile));
-            with.add(millis(routed.get(round), first, percentile));
-            added.add(with.getLast() - own.getLast());
+            directMillis.add(percentileMillis(direct.get(round), isFirst, percentile));
+            routedMillis.add(percentileMillis(routed.get(round), isFirst, percentile));
+            addedMillis.add(routedMillis.getLast() - directMillis.getLast());
         }
         out.printf(
                 "%-26s %-24s %-24s %-24s%n",
-                name, Spread.of(own), Spread.of(with), Spread.of(added));
+                name, Spread.of(directMillis), Spread.of(routedMillis), Spread.of(addedMillis));
     }
 
-    private static double millis(Times times, boolean first, double percentile) {
-        Histogram histogram = first ? times.firstToken : times.between;
+    private static double percentileMillis(
+            Latencies latencies, boolean isFirst, double percentile) {
+        Histogram histogram = isFirst ? latencies.firstToken : latencies.betweenTokens;
         return histogram.getValueAtPercentile(percentile) / 1e6;
     }
 
-    private void measure(Times direct, Times routed, int requests)
+    private void sendRequests(Latencies direct, Latencies routed, int requests)
             throws IOException, InterruptedException {
         for (int request = 0; request < requests; request++) {
-            List<String> segments = new ArrayList<>(shared);
+            List<String> segments = new ArrayList<>(sharedSegments);
             segments.add("question " + UUID.randomUUID());
-            directly(direct, segments);
-            routed(routed, segments);
+            sendDirect(direct, segments);
+            sendRouted(routed, segments);
         }
     }
 
-    private void directly(Times times, List<String> segments)
+    private void sendDirect(Latencies latencies, List<String> segments)
             throws IOException, InterruptedException {
         Map<String, Object> body =
                 Map.of(
@@ -159,52 +163,53 @@
                         "segments",
                         segments,
                         "max_tokens",
-                        TOKENS);
+                        OUTPUT_TOKENS);
         HttpRequest request =
                 HttpRequest.newBuilder(URI.create(runner + "/v1/completions"))
                         .POST(HttpRequest.BodyPublishers.ofByteArray(json.writeValueAsBytes(body)))
                         .build();
-        long before = System.nanoTime();
+        long lastNanos = System.nanoTime();
         HttpResponse<InputStream> response =
                 http.send(request, HttpResponse.BodyHandlers.ofInputStream());
         try (BufferedReader lines =
                 new BufferedReader(
                         new InputStreamReader(response.body(), StandardCharsets.UTF_8))) {
-            boolean first = true;
+            boolean isFirst = true;
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 if (line.contains("\"offset\"")) {
-                    before = record(times, first, before);
-                    first = false;
+                    lastNanos = record(latencies, isFirst, lastNanos);
+                    isFirst = false;
                 }
             }
         }
     }
 
-    private void routed(Times times, List<String> segments) {
+    private void sendRouted(Latencies latencies, List<String> segments) {
         GenerateRequest request =
                 GenerateRequest.newBuilder()
                         .setRequestId(UUID.randomUUID().toString())
                         .setModel(MODEL)
                         .addAllSegments(segments)
-                        .setMaxTokens(TOKENS)
+                        .setMaxTokens(OUTPUT_TOKENS)
                         .build();
-        long before = System.nanoTime();
-        boolean first = true;
+        long lastNanos = System.nanoTime();
+        boolean isFirst = true;
         for (Iterator<GenerateEvent> events = router.generate(request); events.hasNext(); ) {
             GenerateEvent event = events.next();
             if (event.hasProblem()) {
                 throw new IllegalStateException("refused: " + event.getProblem());
             }
             if (event.hasChunk()) {
-                before = record(times, first, before);
-                first = false;
+                lastNanos = record(latencies, isFirst, lastNanos);
+                isFirst = false;
             }
         }
     }
 
-    private static long record(Times times, boolean first, long before) {
-        long now = System.nanoTime();
-        (first ? times.firstToken : times.between).recordValue(now - before);
-        return now;
+    private static long record(Latencies latencies, boolean isFirst, long lastNanos) {
+        long nowNanos = System.nanoTime();
+        (isFirst ? latencies.firstToken : latencies.betweenTokens)
+                .recordValue(nowNanos - lastNanos);
+        return nowNanos;
     }
 }
--- a/measurement/src/main/java/org/bronzelug/measure/MeasureMain.java
+++ b/measurement/src/main/java/org/bronzelug/measure/MeasureMain.java
@@ -12,7 +12,7 @@
 import net.sourceforge.argparse4j.inf.ArgumentParserException;
 import net.sourceforge.argparse4j.inf.Namespace;
 
-/** The measuring tool as a program. Stateless. */
+/** The entry point of the measurement program. Stateless. */
 public final class MeasureMain {
     private static final int USAGE_ERROR = 64;
 
@@ -22,8 +22,8 @@
         ArgumentParser parser = parser();
         try {
             run(parser.parseArgs(arguments));
-        } catch (ArgumentParserException wrong) {
-            parser.handleError(wrong);
+        } catch (ArgumentParserException invalid) {
+            parser.handleError(invalid);
             System.exit(USAGE_ERROR);
         }
     }
@@ -32,11 +32,11 @@
         ArgumentParser parser =
                 ArgumentParsers.newFor("measure")
                         .build()
-                        .description("Measures the shipped decisions against baselines.");
+                        .description("Compares the production routing policy with baselines.");
         parser.addArgument("--profile")
                 .choices("association", "taploen", "both")
                 .setDefault("both")
-                .help("deployment of the brief");
+                .help("deployment to simulate");
         parser.addArgument("--fault")
                 .choices(Arrays.stream(Fault.values()).map(Fault::label).toList())
                 .setDefault(Fault.NONE.label());
@@ -47,31 +47,32 @@
         parser.addArgument("--seconds")
                 .type(Integer.class)
                 .setDefault(120)
-                .help("virtual seconds of a run");
+                .help("length of a run in virtual seconds");
         parser.addArgument("--streams")
                 .type(Integer.class)
                 .setDefault(64)
-                .help("streams that one VM sends to a runner at once; more wait in its queue");
+                .help("streams that one VM sends to a runner at once; more wait in the VM's queue");
         parser.addArgument("--policy")
                 .choices(Arrays.stream(Policy.values()).map(Policy::label).toList())
-                .help("one policy only");
-        parser.addArgument("--json").action(Arguments.storeTrue()).help("print JSON lines too");
-        parser.addArgument("--plot").help("draw the tail time to first token into this PNG file");
+                .help("measure only this policy");
+        parser.addArgument("--json").action(Arguments.storeTrue()).help("also print JSON lines");
+        parser.addArgument("--plot")
+                .help("write a chart of the p99 time to first token to this PNG file");
         parser.addArgument("--slopes")
                 .action(Arguments.storeTrue())
-                .help("bytes and nanoseconds of one more of each thing kept");
+                .help("memory and time per additional prefix, peer, team, bucket and record");
         parser.addArgument("--spreading")
                 .action(Arguments.storeTrue())
-                .help("how a change of the configuration spreads, at 7, 35 and 350 VMs");
+                .help("how a configuration change propagates, at 7, 35 and 350 VMs");
         parser.addArgument("--live")
                 .action(Arguments.storeTrue())
-                .help("the time that the router adds, with real processes on loopback");
+                .help("the latency that the router adds, with real processes on loopback");
         parser.addArgument("--live-vm").help(Arguments.SUPPRESS);
         parser.addArgument("--live-operator-secret").help(Arguments.SUPPRESS);
         parser.addArgument("--live-runner").help(Arguments.SUPPRESS);
         parser.addArgument("--freshness")
                 .action(Arguments.storeTrue())
-                .help("how old the VMs' knowledge gets in an outage, at 7, 35 and 350 VMs");
+                .help("how stale the VMs' configuration gets in an outage, at 7, 35 and 350 VMs");
         return parser;
     }
 
--- a/measurement/src/main/java/org/bronzelug/measure/ModelledRunner.java
+++ b/measurement/src/main/java/org/bronzelug/measure/ModelledRunner.java
@@ -8,13 +8,13 @@
 import org.bronzelug.core.placement.PrefixLevel;
 
 /**
- * A small model of an engine: one prefill at a time, continuous batching of the generation, a
- * prefix cache of limited memory. Not thread-safe; times are virtual.
+ * A simple model of an inference engine: it runs one prefill at a time, generates with continuous
+ * batching, and has a prefix cache of limited size. Not thread-safe; times are virtual.
  */
 final class ModelledRunner {
     static final double NANOS_PER_PREFILL_TOKEN = 100_000;
     private static final double NANOS_PER_OUTPUT_TOKEN = 8_000_000;
-    private static final double NANOS_PER_OTHER_STREAM = 200_000;
+    private static final double NANOS_PER_CONCURRENT_STREAM = 200_000;
     private static final int CACHE_TOKENS = 60_000;
 
     private final String name;
@@ -22,8 +22,8 @@
     private int cachedTokens;
     private int incarnation;
     private long prefillFreeAt;
-    private int running;
-    private boolean gone;
+    private int runningStreams;
+    private boolean departed;
 
     ModelledRunner(String name) {
         this.name = name;
@@ -37,12 +37,12 @@
         return Integer.toString(incarnation);
     }
 
-    boolean isDead() {
-        return gone;
+    boolean hasDeparted() {
+        return departed;
     }
 
     void leave() {
-        gone = true;
+        departed = true;
     }
 
     void crash(long now) {
@@ -52,16 +52,16 @@
         prefillFreeAt = now;
     }
 
-    int running() {
-        return running;
+    int runningStreams() {
+        return runningStreams;
     }
 
-    /** Work that waits for the prefill, in tokens. */
+    /** Returns the queued prefill work, in tokens. */
     double queuedTokens(long now) {
         return Math.max(0, prefillFreeAt - now) / NANOS_PER_PREFILL_TOKEN;
     }
 
-    /** The tokens of a prompt that are cached now. */
+    /** Returns how many tokens of the prompt are cached. */
     int cachedTokens(PrefixChain chain) {
         int cached = 0;
         for (PrefixLevel level : chain.levels()) {
@@ -74,40 +74,42 @@
     }
 
     /**
-     * Takes a prompt in.
+     * Queues the prefill of a prompt and adds the prompt to the cache.
      *
-     * @return when its first token is generated
+     * @return the time at which its first token is generated
      */
     long prefill(PrefixChain chain, long now) {
-        int missing = chain.tokens() - cachedTokens(chain);
-        fill(chain);
-        long begin = Math.max(now, prefillFreeAt);
-        prefillFreeAt = begin + (long) (missing * NANOS_PER_PREFILL_TOKEN);
-        running++;
-        return prefillFreeAt + (long) (NANOS_PER_OTHER_STREAM * running);
+        int uncachedTokens = chain.tokens() - cachedTokens(chain);
+        addToCache(chain);
+        long start = Math.max(now, prefillFreeAt);
+        prefillFreeAt = start + (long) (uncachedTokens * NANOS_PER_PREFILL_TOKEN);
+        runningStreams++;
+        return prefillFreeAt + (long) (NANOS_PER_CONCURRENT_STREAM * runningStreams);
     }
 
-    /** How long the generation takes after the first token. */
-    long generation(int outputTokens) {
-        return (long) (outputTokens * (NANOS_PER_OUTPUT_TOKEN + NANOS_PER_OTHER_STREAM * running));
+    /** Returns the duration of the generation after the first token, in nanoseconds. */
+    long generationNanos(int outputTokens) {
+        return (long)
+                (outputTokens
+                        * (NANOS_PER_OUTPUT_TOKEN + NANOS_PER_CONCURRENT_STREAM * runningStreams));
     }
 
-    void end() {
-        running--;
+    void finishStream() {
+        runningStreams--;
     }
 
-    private void fill(PrefixChain chain) {
-        int before = 0;
+    private void addToCache(PrefixChain chain) {
+        int tokensBefore = 0;
         for (PrefixLevel level : chain.levels()) {
-            if (cache.put(level.hash(), level.tokens() - before) == null) {
-                cachedTokens += level.tokens() - before;
+            if (cache.put(level.hash(), level.tokens() - tokensBefore) == null) {
+                cachedTokens += level.tokens() - tokensBefore;
             }
-            before = level.tokens();
+            tokensBefore = level.tokens();
         }
-        Iterator<Integer> eldest = cache.values().iterator();
+        Iterator<Integer> leastRecentlyUsed = cache.values().iterator();
         while (cachedTokens > CACHE_TOKENS) {
-            cachedTokens -= eldest.next();
-            eldest.remove();
+            cachedTokens -= leastRecentlyUsed.next();
+            leastRecentlyUsed.remove();
         }
     }
 }
--- a/measurement/src/main/java/org/bronzelug/measure/ModelledVm.java
+++ b/measurement/src/main/java/org/bronzelug/measure/ModelledVm.java
@@ -16,26 +16,28 @@
 import org.bronzelug.core.placement.RunnerLoad;
 
 /**
- * An entry VM of a run: the shipped queue, belief and placement, or a baseline in their place. It
- * sees its own requests at once and the runners' reports with a lag. Not thread-safe.
+ * A VM in a simulation run. Places requests with the production queue, cache estimate and placement
+ * policy, or with a baseline policy. It knows its own requests immediately and refreshes a runner's
+ * load report at most every 250 ms. Not thread-safe.
  */
 final class ModelledVm {
-    private static final long REPORT_LAG = Simulation.SECOND / 4;
-    private static final int BELIEVED = 20_000;
-    private static final long BELIEF_LIFETIME = 30 * Simulation.SECOND;
-    private static final int WAITING = 2_000;
+    private static final long REPORT_INTERVAL = Simulation.SECOND / 4;
+    private static final int TRACKED_PREFIXES_PER_RUNNER = 20_000;
+    private static final long CACHE_ESTIMATE_LIFETIME = 30 * Simulation.SECOND;
+    private static final int QUEUE_CAPACITY = 2_000;
 
     private final Simulation simulation;
     private final Policy policy;
     private final List<ModelledRunner> runners;
-    private final long delay;
+    private final long runnerDelayNanos;
     private final int streamsPerRunner;
     private final PlacementPolicy placement = new PlacementPolicy(PlacementSettings.defaults());
     private final Map<String, Long> reportedAt = new HashMap<>();
     private final Map<String, LoadEstimate> estimates = new HashMap<>();
-    private CacheEstimate cacheEstimate = new CacheEstimate(BELIEVED, BELIEF_LIFETIME, 0);
-    private FairQueue<Request> queue = new FairQueue<>(WAITING);
-    private int turn;
+    private CacheEstimate cacheEstimate =
+            new CacheEstimate(TRACKED_PREFIXES_PER_RUNNER, CACHE_ESTIMATE_LIFETIME, 0);
+    private FairQueue<Request> queue = new FairQueue<>(QUEUE_CAPACITY);
+    private int roundRobinIndex;
 
     ModelledVm(
             Simulation simulation,
@@ -45,63 +47,70 @@
         this.simulation = simulation;
         this.policy = policy;
         this.runners = runners;
-        this.delay = settings.profile().vmToRunnerNanos();
+        this.runnerDelayNanos = settings.profile().vmToRunnerNanos();
         this.streamsPerRunner = settings.streamsPerRunner();
     }
 
-    /** Forgets all, as a restarted daemon; callers ask again for what was waiting. */
+    /**
+     * Discards the cache estimate, the queue and the report times, as a restart of the daemon does.
+     * Queued requests are enqueued again, as their callers retry them.
+     */
     void restart() {
-        FairQueue<Request> before = queue;
-        cacheEstimate = new CacheEstimate(BELIEVED, BELIEF_LIFETIME, simulation.now());
-        queue = new FairQueue<>(WAITING);
+        FairQueue<Request> oldQueue = queue;
+        cacheEstimate =
+                new CacheEstimate(
+                        TRACKED_PREFIXES_PER_RUNNER, CACHE_ESTIMATE_LIFETIME, simulation.now());
+        queue = new FairQueue<>(QUEUE_CAPACITY);
         reportedAt.clear();
-        for (Optional<Request> left = before.poll(); left.isPresent(); left = before.poll()) {
-            take(left.get());
+        for (Optional<Request> queued = oldQueue.poll();
+                queued.isPresent();
+                queued = oldQueue.poll()) {
+            enqueue(queued.get());
         }
     }
 
-    void take(Request request) {
+    void enqueue(Request request) {
         String team = policy == Policy.NO_FAIRNESS ? "all" : request.team();
         queue.offer(team, request, request.chain().tokens())
-                .ifPresent(simulation::refuseForWantOfRoom);
-        pump();
+                .ifPresent(simulation::rejectDroppedRequest);
+        dispatchQueued();
     }
 
-    private void pump() {
+    private void dispatchQueued() {
         while (queue.size() > 0) {
-            List<ModelledRunner> free = free();
-            if (free.isEmpty()) {
+            List<ModelledRunner> available = availableRunners();
+            if (available.isEmpty()) {
                 return;
             }
             Request next = queue.poll().orElseThrow();
-            dispatch(next, choose(next.chain(), free));
+            dispatch(next, choose(next.chain(), available));
         }
     }
 
-    private List<ModelledRunner> free() {
-        List<ModelledRunner> free = new ArrayList<>();
+    private List<ModelledRunner> availableRunners() {
+        List<ModelledRunner> available = new ArrayList<>();
         for (ModelledRunner runner : runners) {
-            boolean slot = estimate(runner).ownStreams() < streamsPerRunner;
-            if (!runner.isDead() && slot) {
-                free.add(runner);
+            boolean hasFreeSlot = estimate(runner).ownStreams() < streamsPerRunner;
+            if (!runner.hasDeparted() && hasFreeSlot) {
+                available.add(runner);
             }
         }
-        return free;
+        return available;
     }
 
-    private ModelledRunner choose(PrefixChain chain, List<ModelledRunner> free) {
+    private ModelledRunner choose(PrefixChain chain, List<ModelledRunner> available) {
         return switch (policy) {
-            case ROUND_ROBIN -> free.get(turn++ % free.size());
-            case LEAST_LOAD -> leastLoadedEndpoint(free);
-            case RENDEZVOUS -> byHash(chain, free);
-            case ORACLE -> byOracle(chain, free);
-            default -> byShippedPolicy(chain, free);
+            case ROUND_ROBIN -> available.get(roundRobinIndex++ % available.size());
+            case LEAST_LOAD -> byLeastLoad(available);
+            case RENDEZVOUS -> byRendezvousHash(chain, available);
+            case ORACLE -> byOracle(chain, available);
+            default -> byPlacementPolicy(chain, available);
         };
     }
 
-    private ModelledRunner leastLoadedEndpoint(List<ModelledRunner> free) {
-        ModelledRunner best = free.get(0);
-        for (ModelledRunner runner : free) {
+    private ModelledRunner byLeastLoad(List<ModelledRunner> available) {
+        ModelledRunner best = available.get(0);
+        for (ModelledRunner runner : available) {
             if (load(runner).queuedPrefillTokens() < load(best).queuedPrefillTokens()) {
                 best = runner;
             }
@@ -109,32 +118,33 @@
         return best;
     }
 
-    private static ModelledRunner byHash(PrefixChain chain, List<ModelledRunner> free) {
-        List<String> names = free.stream().map(ModelledRunner::name).toList();
+    private static ModelledRunner byRendezvousHash(
+            PrefixChain chain, List<ModelledRunner> available) {
+        List<String> names = available.stream().map(ModelledRunner::name).toList();
         String first =
                 Rendezvous.first(chain.deepestSharedLevel().hash().toString(), names).orElseThrow();
-        return free.get(names.indexOf(first));
+        return available.get(names.indexOf(first));
     }
 
-    private ModelledRunner byOracle(PrefixChain chain, List<ModelledRunner> free) {
-        ModelledRunner best = free.get(0);
-        double least = Double.MAX_VALUE;
-        for (ModelledRunner runner : free) {
-            int missing = chain.tokens() - runner.cachedTokens(chain);
-            double cost = runner.queuedTokens(simulation.now()) + missing;
-            if (cost < least) {
-                least = cost;
+    private ModelledRunner byOracle(PrefixChain chain, List<ModelledRunner> available) {
+        ModelledRunner best = available.get(0);
+        double lowestCost = Double.MAX_VALUE;
+        for (ModelledRunner runner : available) {
+            int uncachedTokens = chain.tokens() - runner.cachedTokens(chain);
+            double cost = runner.queuedTokens(simulation.now()) + uncachedTokens;
+            if (cost < lowestCost) {
+                lowestCost = cost;
                 best = runner;
             }
         }
         return best;
     }
 
-    private ModelledRunner byShippedPolicy(PrefixChain chain, List<ModelledRunner> free) {
-        List<RunnerLoad> loads = free.stream().map(this::load).toList();
+    private ModelledRunner byPlacementPolicy(PrefixChain chain, List<ModelledRunner> available) {
+        List<RunnerLoad> loads = available.stream().map(this::load).toList();
         Placement chosen =
                 placement.choose(chain, loads, cacheEstimate, simulation.now()).orElseThrow();
-        return free.stream()
+        return available.stream()
                 .filter(runner -> runner.name().equals(chosen.runner()))
                 .findFirst()
                 .orElseThrow();
@@ -142,10 +152,10 @@
 
     private RunnerLoad load(ModelledRunner runner) {
         long now = simulation.now();
-        long last = reportedAt.getOrDefault(runner.name(), Long.MIN_VALUE / 2);
-        if (now - last > REPORT_LAG) {
+        long lastReport = reportedAt.getOrDefault(runner.name(), Long.MIN_VALUE / 2);
+        if (now - lastReport > REPORT_INTERVAL) {
             reportedAt.put(runner.name(), now);
-            estimate(runner).report(runner.queuedTokens(now), runner.running());
+            estimate(runner).report(runner.queuedTokens(now), runner.runningStreams());
         }
         return estimate(runner).load(runner.name(), runner.incarnation());
     }
@@ -157,16 +167,16 @@
     private void dispatch(Request request, ModelledRunner runner) {
         String name = runner.name();
         PrefixChain chain = request.chain();
-        int believed =
+        int estimatedCachedTokens =
                 cacheEstimate.cachedTokens(name, runner.incarnation(), chain, simulation.now());
-        double queued = Math.max(0, chain.tokens() - believed);
+        double queued = Math.max(0, chain.tokens() - estimatedCachedTokens);
         estimate(runner).begin(queued);
-        remember(runner, chain);
-        long arrival = simulation.now() + delay;
+        recordCached(runner, chain);
+        long arrival = simulation.now() + runnerDelayNanos;
         simulation.at(arrival, () -> arriveAt(runner, request, queued));
     }
 
-    private void remember(ModelledRunner runner, PrefixChain chain) {
+    private void recordCached(ModelledRunner runner, PrefixChain chain) {
         if (policy != Policy.NO_BELIEF) {
             cacheEstimate.recordCached(
                     runner.name(), runner.incarnation(), chain, simulation.now());
@@ -176,18 +186,18 @@
     private void arriveAt(ModelledRunner runner, Request request, double queued) {
         int found = runner.cachedTokens(request.chain());
         long firstToken = simulation.prefill(request, runner);
-        long end = firstToken + runner.generation(simulation.outputTokens());
-        simulation.at(firstToken + delay, () -> estimate(runner).prefilled(queued));
-        simulation.at(end + delay, () -> end(runner, request, found));
+        long end = firstToken + runner.generationNanos(simulation.outputTokens());
+        simulation.at(firstToken + runnerDelayNanos, () -> estimate(runner).prefilled(queued));
+        simulation.at(end + runnerDelayNanos, () -> end(runner, request, found));
     }
 
     private void end(ModelledRunner runner, Request request, int found) {
-        runner.end();
+        runner.finishStream();
         estimate(runner).end();
         if (policy != Policy.NO_BELIEF) {
             cacheEstimate.recordFound(runner.name(), runner.incarnation(), request.chain(), found);
-            remember(runner, request.chain());
+            recordCached(runner, request.chain());
         }
-        pump();
+        dispatchQueued();
     }
 }
--- a/measurement/src/main/java/org/bronzelug/measure/Policy.java
+++ b/measurement/src/main/java/org/bronzelug/measure/Policy.java
@@ -1,20 +1,20 @@
 package org.bronzelug.measure;
 
-/** A way to place requests. */
+/** A policy that chooses the runner of each request: the production policy or a baseline. */
 enum Policy {
-    /** The shipped decisions. */
+    /** The production policy. */
     BRONZELUG("bronzelug"),
-    /** Shipped, without what a VM remembers of the runners' caches. */
+    /** The production policy without the VMs' estimate of the runners' prefix caches. */
     NO_BELIEF("bronzelug-without-belief"),
-    /** Shipped, but callers use any VM instead of the one they are steered to. */
+    /** The production policy, but each caller uses a random VM instead of the assigned one. */
     NO_STEERING("bronzelug-without-steering"),
-    /** Shipped, but first come, first served between teams. */
+    /** The production policy, but with one FIFO queue for all teams. */
     NO_FAIRNESS("bronzelug-without-fairness"),
     ROUND_ROBIN("round-robin"),
     LEAST_LOAD("least-load"),
-    /** By the hash of the shared prefix alone. */
+    /** Rendezvous hashing of the shared prefix; ignores load. */
     RENDEZVOUS("rendezvous"),
-    /** Sees every cache and queue at once; no system can. */
+    /** Knows the current state of every cache and queue, which no real system can. */
     ORACLE("oracle");
 
     private final String label;
@@ -27,7 +27,7 @@
         return label;
     }
 
-    boolean isShipped() {
+    boolean isProduction() {
         return this == BRONZELUG || this == NO_BELIEF || this == NO_STEERING || this == NO_FAIRNESS;
     }
 }
--- a/measurement/src/main/java/org/bronzelug/measure/PolicyComparison.java
+++ b/measurement/src/main/java/org/bronzelug/measure/PolicyComparison.java
@@ -12,7 +12,10 @@
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
 
-/** Runs the shipped policy and its baselines with the same seeds, and prints them as ratios. */
+/**
+ * Runs the production policy and the baselines with the same seeds, and prints the results and the
+ * ratios between them. Not thread-safe.
+ */
 final class PolicyComparison {
     private final RunSettings settings;
     private final int seeds;
@@ -23,7 +26,7 @@
         this.seeds = seeds;
     }
 
-    /** Runs the policies, seeds in parallel. */
+    /** Runs each policy on a thread of its own, one seed after the other. */
     void run(List<Policy> policies) {
         List<Thread> threads = new ArrayList<>();
         for (Policy policy : policies) {
@@ -37,7 +40,7 @@
         for (Thread thread : threads) {
             try {
                 thread.join();
-            } catch (InterruptedException stopped) {
+            } catch (InterruptedException interrupted) {
                 Thread.currentThread().interrupt();
             }
         }
@@ -52,7 +55,7 @@
 
     void print(PrintStream out) {
         out.printf(
-                "%nprofile %s, fault %s, flood %s, %d streams a runner, %d seeds of %d s:"
+                "%nprofile %s, fault %s, flood %s, %d streams per runner, %d seeds of %d s:"
                         + " median (least–most)%n",
                 settings.profile().name(),
                 settings.fault().label(),
@@ -86,60 +89,65 @@
         if (!results.containsKey(Policy.BRONZELUG)) {
             return;
         }
-        out.println("ratios, seed by seed:");
-        ratio(out, "hit rate / oracle", Policy.ORACLE, RunResult::hitRate);
-        ratio(out, "p99 / round robin", Policy.ROUND_ROBIN, RunResult::firstTokenP99Millis);
-        ratio(out, "p99 / rendezvous", Policy.RENDEZVOUS, RunResult::firstTokenP99Millis);
-        ratio(out, "p99 / least load", Policy.LEAST_LOAD, RunResult::firstTokenP99Millis);
-        ratio(out, "p99 / oracle", Policy.ORACLE, RunResult::firstTokenP99Millis);
-        ratio(out, "recomputed / oracle", Policy.ORACLE, RunResult::recomputedTokens);
-        for (Policy without : List.of(Policy.NO_BELIEF, Policy.NO_STEERING, Policy.NO_FAIRNESS)) {
-            ratio(out, "p99 / " + without.label(), without, RunResult::firstTokenP99Millis);
-            ratio(out, "hit rate / " + without.label(), without, RunResult::hitRate);
-            ratio(
+        out.println("ratios between runs with the same seed:");
+        printRatio(out, "hit rate / oracle", Policy.ORACLE, RunResult::hitRate);
+        printRatio(out, "p99 / round robin", Policy.ROUND_ROBIN, RunResult::firstTokenP99Millis);
+        printRatio(out, "p99 / rendezvous", Policy.RENDEZVOUS, RunResult::firstTokenP99Millis);
+        printRatio(out, "p99 / least load", Policy.LEAST_LOAD, RunResult::firstTokenP99Millis);
+        printRatio(out, "p99 / oracle", Policy.ORACLE, RunResult::firstTokenP99Millis);
+        printRatio(out, "recomputed / oracle", Policy.ORACLE, RunResult::recomputedTokens);
+        for (Policy ablation : List.of(Policy.NO_BELIEF, Policy.NO_STEERING, Policy.NO_FAIRNESS)) {
+            printRatio(out, "p99 / " + ablation.label(), ablation, RunResult::firstTokenP99Millis);
+            printRatio(out, "hit rate / " + ablation.label(), ablation, RunResult::hitRate);
+            printRatio(
                     out,
-                    "worst team's p99 / " + without.label(),
-                    without,
+                    "worst team's p99 / " + ablation.label(),
+                    ablation,
                     RunResult::worstTeamP99Millis);
-            ratio(
+            printRatio(
                     out,
-                    "median team's p99 / " + without.label(),
-                    without,
+                    "median team's p99 / " + ablation.label(),
+                    ablation,
                     RunResult::medianTeamP99Millis);
         }
         out.printf(
                 "  %-40s %s%n",
-                "refused within the rate, of all",
+                "fraction rejected within the rate",
                 spread(
                         Policy.BRONZELUG,
-                        run -> run.refusedWithinRate() / Math.max(1, run.requests())));
+                        run -> run.rejectedWithinRate() / Math.max(1, run.requests())));
         if (settings.fault().restartsAll()) {
             out.printf(
                     "  %-40s %s%n",
                     "hit rate, 1 s after / 5 s before restart",
-                    spread(Policy.BRONZELUG, run -> run.hitRateAfter() / run.hitRateBefore()));
+                    spread(
+                            Policy.BRONZELUG,
+                            run -> run.hitRateAfterRestart() / run.hitRateBeforeRestart()));
         }
     }
 
-    private void ratio(
-            PrintStream out, String name, Policy against, ToDoubleFunction<RunResult> figure) {
-        List<RunResult> others = results.get(against);
-        if (others == null) {
+    private void printRatio(
+            PrintStream out,
+            String name,
+            Policy baselinePolicy,
+            ToDoubleFunction<RunResult> metric) {
+        List<RunResult> baseline = results.get(baselinePolicy);
+        if (baseline == null) {
             return;
         }
         List<Double> ratios = new ArrayList<>();
         for (int seed = 0; seed < seeds; seed++) {
-            double own = figure.applyAsDouble(results.get(Policy.BRONZELUG).get(seed));
-            ratios.add(own / figure.applyAsDouble(others.get(seed)));
+            double value = metric.applyAsDouble(results.get(Policy.BRONZELUG).get(seed));
+            ratios.add(value / metric.applyAsDouble(baseline.get(seed)));
         }
         out.printf("  %-40s %s%n", name, Spread.of(ratios));
     }
 
-    private Spread spread(Policy policy, ToDoubleFunction<RunResult> figure) {
-        return Spread.of(results.get(policy).stream().mapToDouble(figure).boxed().toList());
+    private Spread spread(Policy policy, ToDoubleFunction<RunResult> metric) {
+        return Spread.of(results.get(policy).stream().mapToDouble(metric).boxed().toList());
     }
 
-    /** One JSON line a run. */
+    /** Prints one JSON line for each run. */
     void printJson(PrintStream out) {
         results.forEach(
                 (policy, runs) -> {
@@ -166,7 +174,7 @@
                 });
     }
 
-    /** Draws the tail time to first token of each policy. */
+    /** Writes a chart of the median p99 time to first token of each policy. */
     void plot(Path file) throws IOException {
         CategoryChart chart =
                 new CategoryChartBuilder()
--- a/measurement/src/main/java/org/bronzelug/measure/RunResult.java
+++ b/measurement/src/main/java/org/bronzelug/measure/RunResult.java
@@ -1,18 +1,19 @@
 package org.bronzelug.measure;
 
 /**
- * The brief's measures of one run.
+ * The results of one simulation run. Immutable.
  *
- * @param hitRate prompt tokens found cached, of all
- * @param firstTokenP50Millis as the caller sees it
- * @param firstTokenP99Millis as the caller sees it
- * @param recomputedTokens prefilled although prefilled before by some runner
- * @param worstTeamP99Millis of the worst-served team that keeps its rate
- * @param medianTeamP99Millis of the median team
- * @param refusedWithinRate wrongful refusals
- * @param requests served
- * @param hitRateBefore in the second before a restart of all daemons
- * @param hitRateAfter in the second after it
+ * @param hitRate the fraction of prompt tokens that were cached
+ * @param firstTokenP50Millis the median time to first token, measured at the caller
+ * @param firstTokenP99Millis the 99th percentile of the time to first token, measured at the caller
+ * @param recomputedTokens the prompt tokens prefilled again after some runner had prefilled them
+ * @param worstTeamP99Millis the highest p99 time to first token of any team within its rate
+ * @param medianTeamP99Millis the median over these teams of the p99 time to first token
+ * @param rejectedWithinRate the number of rejected requests of teams within their rate
+ * @param requests the number of served requests
+ * @param hitRateBeforeRestart the hit rate in the 5 s before the middle of the run, when faults are
+ *     injected
+ * @param hitRateAfterRestart the hit rate in the 1 s after the middle of the run
  */
 record RunResult(
         double hitRate,
@@ -21,7 +22,7 @@
         double recomputedTokens,
         double worstTeamP99Millis,
         double medianTeamP99Millis,
-        double refusedWithinRate,
+        double rejectedWithinRate,
         double requests,
-        double hitRateBefore,
-        double hitRateAfter) {}
+        double hitRateBeforeRestart,
+        double hitRateAfterRestart) {}
--- a/measurement/src/main/java/org/bronzelug/measure/RunSettings.java
+++ b/measurement/src/main/java/org/bronzelug/measure/RunSettings.java
@@ -1,11 +1,14 @@
 package org.bronzelug.measure;
 
 /**
- * What a run is made of. Immutable.
+ * The parameters of a simulation run. Immutable.
  *
+ * @param profile the simulated deployment and its load
+ * @param fault the fault injected in the middle of the run
  * @param flood whether one team sends several times its rate
- * @param seconds virtual time
- * @param streamsPerRunner that one VM sends to a runner at once; more wait in its fair queue
+ * @param seconds the length of the run in virtual time
+ * @param streamsPerRunner the maximum number of streams that one VM sends to a runner at once;
+ *     further requests wait in the VM's fair queue
  */
 record RunSettings(
         Profile profile, Fault fault, boolean flood, int seconds, int streamsPerRunner) {}
--- a/measurement/src/main/java/org/bronzelug/measure/Simulation.java
+++ b/measurement/src/main/java/org/bronzelug/measure/Simulation.java
@@ -14,21 +14,21 @@
 import org.bronzelug.core.placement.PrefixLevel;
 
 /**
- * One run of a policy over virtual time: callers, entry VMs with the shipped decisions, modelled
- * runners. Deterministic for a seed; not thread-safe.
+ * A discrete-event simulation of one policy in virtual time, with callers, VMs that run the
+ * production code, and modelled runners. Deterministic for a given seed. Not thread-safe.
  */
 final class Simulation {
     static final long SECOND = 1_000_000_000L;
     private static final int OUTPUT_TOKENS = 60;
 
-    /** Of one request: prompt and output. */
-    private static final double METERED_TOKENS = 3_020;
+    /** The tokens of one request that count against its team's rate: prompt and output. */
+    private static final double TOKENS_PER_REQUEST = 3_020;
 
-    private static final double FLOOD = 5;
+    private static final double FLOOD_FACTOR = 5;
     private static final double RATE_MARGIN = 1.3;
     private static final double BURST_SECONDS = 10;
     private static final long WARM_UP = 20 * SECOND;
-    private static final long HIGHEST_NANOS = 600 * SECOND;
+    private static final long MAXIMUM_NANOS = 600 * SECOND;
 
     private final Profile profile;
     private final Policy policy;
@@ -41,16 +41,16 @@
     private final List<ModelledRunner> runners = new ArrayList<>();
     private final List<ModelledVm> vms = new ArrayList<>();
     private final List<TokenBucket> buckets = new ArrayList<>();
-    private final List<Histogram> firstTokens = new ArrayList<>();
-    private final Histogram firstToken = new Histogram(HIGHEST_NANOS, 3);
-    private final Set<PrefixHash> everPrefilled = new HashSet<>();
-    private final double[] hitBySecond;
-    private final double[] promptBySecond;
+    private final List<Histogram> firstTokenByTeam = new ArrayList<>();
+    private final Histogram firstToken = new Histogram(MAXIMUM_NANOS, 3);
+    private final Set<PrefixHash> prefilledPrefixes = new HashSet<>();
+    private final double[] hitTokensBySecond;
+    private final double[] promptTokensBySecond;
     private double hitTokens;
     private double promptTokens;
     private double recomputedTokens;
     private long requests;
-    private long refusedWithinRate;
+    private long rejectedWithinRate;
     private long sequence;
     private long now;
 
@@ -63,8 +63,8 @@
         this.duration = seconds * SECOND;
         this.random = new Random(seed);
         this.workload = new Workload(profile, new Random(seed + 1));
-        this.hitBySecond = new double[seconds + 600];
-        this.promptBySecond = new double[seconds + 600];
+        this.hitTokensBySecond = new double[seconds + 600];
+        this.promptTokensBySecond = new double[seconds + 600];
         for (int index = 0; index < profile.runners(); index++) {
             runners.add(new ModelledRunner("runner-" + index));
         }
@@ -72,13 +72,13 @@
             vms.add(new ModelledVm(this, policy, runners, settings));
         }
         for (double share : profile.teamShares()) {
-            double rate = share * profile.requestsPerSecond() * METERED_TOKENS * RATE_MARGIN;
+            double rate = share * profile.requestsPerSecond() * TOKENS_PER_REQUEST * RATE_MARGIN;
             buckets.add(new TokenBucket(rate, rate * BURST_SECONDS, rate * BURST_SECONDS, 0));
-            firstTokens.add(new Histogram(HIGHEST_NANOS, 3));
+            firstTokenByTeam.add(new Histogram(MAXIMUM_NANOS, 3));
         }
     }
 
-    /** Something that happens at a time. */
+    /** An action at a virtual time; events at the same time run in the order they were added. */
     private record Event(long time, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -96,11 +96,11 @@
         return now;
     }
 
-    /** Runs to the end. */
+    /** Runs the simulation until no event is left. */
     RunResult run() {
-        at(0, this::arrive);
+        at(0, this::generateLoad);
         if (flood) {
-            at(WARM_UP, this::arriveOfFlood);
+            at(WARM_UP, this::generateFlood);
         }
         at(duration / 2, this::inject);
         while (!events.isEmpty()) {
@@ -126,58 +126,61 @@
         }
     }
 
-    private void arrive() {
+    private void generateLoad() {
         if (now > duration) {
             return;
         }
-        request(workload.nextTeam());
-        at(now + exponential(profile.requestsPerSecond()), this::arrive);
+        submitRequest(workload.nextTeam());
+        at(now + exponential(profile.requestsPerSecond()), this::generateLoad);
     }
 
-    /** The smallest team but one sends several times its rate on top. */
-    private void arriveOfFlood() {
+    /** Adds the flood: the second-smallest team sends five times its load on top of it. */
+    private void generateFlood() {
         if (now > duration) {
             return;
         }
         int team = profile.teamShares().size() - 2;
-        request(team);
-        double rate = profile.teamShares().get(team) * profile.requestsPerSecond() * FLOOD;
-        at(now + exponential(rate), this::arriveOfFlood);
+        submitRequest(team);
+        double rate = profile.teamShares().get(team) * profile.requestsPerSecond() * FLOOD_FACTOR;
+        at(now + exponential(rate), this::generateFlood);
     }
 
     private long exponential(double perSecond) {
         return (long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND);
     }
 
-    private void request(int team) {
+    private void submitRequest(int team) {
         boolean shifted = now > duration * 3 / 4;
         PrefixChain chain =
                 PrefixChain.of(profile.team(team), "model", 1, workload.nextPrompt(team, shifted));
-        long arrived = now;
+        long arrivedNanos = now;
         String id = Long.toString(sequence);
         int estimate = chain.tokens() + OUTPUT_TOKENS;
         if (!buckets.get(team).reserve(id, estimate, now)) {
-            countRefusal(team);
+            countRejection(team);
             return;
         }
         buckets.get(team).settle(id, estimate, now);
-        ModelledVm vm = vms.get(vmOf(chain));
-        Request request = new Request(profile.team(team), chain, arrived, team);
-        at(now + profile.callerToVmNanos(), () -> vm.take(request));
+        ModelledVm vm = vms.get(indexOfVm(chain));
+        Request request = new Request(profile.team(team), chain, arrivedNanos, team);
+        at(now + profile.callerToVmNanos(), () -> vm.enqueue(request));
     }
 
-    /** A full queue gave the request up: the caller is refused, though its team keeps its rate. */
-    void refuseForWantOfRoom(Request request) {
-        countRefusal(request.teamIndex());
+    /**
+     * Counts the rejection of a request that a VM's full queue drops, although the request was
+     * within its team's rate.
+     */
+    void rejectDroppedRequest(Request request) {
+        countRejection(request.teamIndex());
     }
 
-    private void countRefusal(int team) {
-        boolean floods = flood && team == profile.teamShares().size() - 2;
-        refusedWithinRate += floods ? 0 : 1;
+    private void countRejection(int team) {
+        boolean isFlooding = flood && team == profile.teamShares().size() - 2;
+        rejectedWithinRate += isFlooding ? 0 : 1;
     }
 
-    private int vmOf(PrefixChain chain) {
-        if (!policy.isShipped() || policy == Policy.NO_STEERING) {
+    private int indexOfVm(PrefixChain chain) {
+        if (!policy.isProduction() || policy == Policy.NO_STEERING) {
             return random.nextInt(vms.size());
         }
         List<String> names = new ArrayList<>();
@@ -188,32 +191,39 @@
         return names.indexOf(first);
     }
 
-    /** The prompt reaches its runner; returns when the first token is generated. */
+    /**
+     * Starts the prefill of a request that reaches its runner.
+     *
+     * @return the time at which the first token is generated
+     */
     long prefill(Request request, ModelledRunner runner) {
         PrefixChain chain = request.chain();
         int cached = runner.cachedTokens(chain);
-        count(chain, cached);
+        countTokens(chain, cached);
         long firstTokenAt = runner.prefill(chain, now);
-        long seen = firstTokenAt + profile.vmToRunnerNanos() + profile.callerToVmNanos();
-        if (request.arrived() > WARM_UP) {
-            firstToken.recordValue(seen - request.arrived());
-            firstTokens.get(request.teamIndex()).recordValue(seen - request.arrived());
+        long firstTokenAtCaller =
+                firstTokenAt + profile.vmToRunnerNanos() + profile.callerToVmNanos();
+        if (request.arrivedNanos() > WARM_UP) {
+            firstToken.recordValue(firstTokenAtCaller - request.arrivedNanos());
+            firstTokenByTeam
+                    .get(request.teamIndex())
+                    .recordValue(firstTokenAtCaller - request.arrivedNanos());
             requests++;
         }
         return firstTokenAt;
     }
 
-    private void count(PrefixChain chain, int cached) {
+    private void countTokens(PrefixChain chain, int cached) {
         int second = (int) (now / SECOND);
-        hitBySecond[second] += cached;
-        promptBySecond[second] += chain.tokens();
-        int before = 0;
+        hitTokensBySecond[second] += cached;
+        promptTokensBySecond[second] += chain.tokens();
+        int tokensBefore = 0;
         for (PrefixLevel level : chain.levels()) {
-            boolean again = !everPrefilled.add(level.hash());
-            if (now > WARM_UP && again && level.tokens() > cached) {
-                recomputedTokens += level.tokens() - before;
+            boolean prefilledBefore = !prefilledPrefixes.add(level.hash());
+            if (now > WARM_UP && prefilledBefore && level.tokens() > cached) {
+                recomputedTokens += level.tokens() - tokensBefore;
             }
-            before = level.tokens();
+            tokensBefore = level.tokens();
         }
         if (now > WARM_UP) {
             hitTokens += cached;
@@ -227,14 +237,14 @@
 
     private RunResult result() {
         List<Double> byTeam = new ArrayList<>();
-        for (int team = 0; team < firstTokens.size(); team++) {
-            boolean floods = flood && team == firstTokens.size() - 2;
-            if (!floods) {
-                byTeam.add(firstTokens.get(team).getValueAtPercentile(99) / 1e6);
+        for (int team = 0; team < firstTokenByTeam.size(); team++) {
+            boolean isFlooding = flood && team == firstTokenByTeam.size() - 2;
+            if (!isFlooding) {
+                byTeam.add(firstTokenByTeam.get(team).getValueAtPercentile(99) / 1e6);
             }
         }
         byTeam.sort(null);
-        int middle = (int) (duration / 2 / SECOND);
+        int faultSecond = (int) (duration / 2 / SECOND);
         return new RunResult(
                 hitTokens / promptTokens,
                 firstToken.getValueAtPercentile(50) / 1e6,
@@ -242,19 +252,19 @@
                 recomputedTokens,
                 byTeam.get(byTeam.size() - 1),
                 byTeam.get(byTeam.size() / 2),
-                refusedWithinRate,
+                rejectedWithinRate,
                 requests,
-                rate(middle - 5, middle),
-                rate(middle, middle + 1));
+                hitRate(faultSecond - 5, faultSecond),
+                hitRate(faultSecond, faultSecond + 1));
     }
 
-    private double rate(int fromSecond, int toSecond) {
-        double hit = 0;
-        double prompt = 0;
+    private double hitRate(int fromSecond, int toSecond) {
+        double hitSum = 0;
+        double promptSum = 0;
         for (int second = fromSecond; second < toSecond; second++) {
-            hit += hitBySecond[second];
-            prompt += promptBySecond[second];
+            hitSum += hitTokensBySecond[second];
+            promptSum += promptTokensBySecond[second];
         }
-        return prompt == 0 ? 0 : hit / prompt;
+        return promptSum == 0 ? 0 : hitSum / promptSum;
     }
 }
--- a/measurement/src/main/java/org/bronzelug/measure/Slope.java
+++ b/measurement/src/main/java/org/bronzelug/measure/Slope.java
@@ -3,36 +3,38 @@
 import java.util.List;
 
 /**
- * A straight line through measured points: what one more of something costs.
+ * A line fitted to measured costs at several sizes. Immutable.
  *
- * @param name what is measured, with its unit
- * @param perItem the slope
- * @param fixed the cost of none
- * @param error the greatest distance of a point from the line, as a part of the greatest value
+ * @param name the measured quantity, with its unit
+ * @param perItem the slope: the cost of one more item
+ * @param fixed the intercept: the cost of zero items
+ * @param error the largest vertical distance of a point from the line, as a fraction of the largest
+ *     value
  */
 record Slope(String name, double perItem, double fixed, double error) {
-    /** A measured point. */
+    /** A measured value at a size. */
     record Point(double size, double value) {}
 
-    /** The least-squares line. */
+    /** Fits a line by least squares. */
     static Slope fit(String name, List<Point> points) {
         double meanSize = points.stream().mapToDouble(Point::size).average().orElse(0);
         double meanValue = points.stream().mapToDouble(Point::value).average().orElse(0);
-        double product = 0;
-        double square = 0;
+        double covarianceSum = 0;
+        double varianceSum = 0;
         for (Point point : points) {
-            product += (point.size - meanSize) * (point.value - meanValue);
-            square += (point.size - meanSize) * (point.size - meanSize);
+            covarianceSum += (point.size - meanSize) * (point.value - meanValue);
+            varianceSum += (point.size - meanSize) * (point.size - meanSize);
         }
-        double slope = product / square;
+        double slope = covarianceSum / varianceSum;
         double fixed = meanValue - slope * meanSize;
-        double worst = 0;
-        double greatest = 0;
+        double largestError = 0;
+        double largestValue = 0;
         for (Point point : points) {
-            worst = Math.max(worst, Math.abs(point.value - fixed - slope * point.size));
-            greatest = Math.max(greatest, point.value);
+            largestError =
+                    Math.max(largestError, Math.abs(point.value - fixed - slope * point.size));
+            largestValue = Math.max(largestValue, point.value);
         }
-        return new Slope(name, slope, fixed, worst / greatest);
+        return new Slope(name, slope, fixed, largestError / largestValue);
     }
 
     @Override
--- a/measurement/src/main/java/org/bronzelug/measure/SlopeMeasurement.java
+++ b/measurement/src/main/java/org/bronzelug/measure/SlopeMeasurement.java
@@ -30,9 +30,11 @@
 import org.bronzelug.core.placement.RunnerLoad;
 
 /**
- * Measures what one more block, peer, team, runner or record costs, at three sizes each.
+ * Measures how memory, time and message size grow with the number of prefixes, peers, teams,
+ * runners and action records, at three sizes each.
  *
- * <p>Bytes are of the live heap after collection, times the median of repeated runs on one thread.
+ * <p>Memory is the live heap after garbage collection. Times are the median of repeated runs on one
+ * thread. Not thread-safe.
  */
 final class SlopeMeasurement {
     private static final int REPEATS = 15;
@@ -45,25 +47,25 @@
     }
 
     void run() {
-        measureBeliefs();
-        measureEvents();
+        measureCacheEstimate();
+        measureCacheEvents();
         measurePeers();
         measureConfiguration();
         measureRequests();
     }
 
-    private void measureBeliefs() {
-        bytes(
-                "bytes: cached prefix believed in",
+    private void measureCacheEstimate() {
+        measureBytes(
+                "bytes: prefix in the cache estimate",
                 sizes(20_000, 100_000, 300_000),
                 this::cacheEstimate);
-        nanos(
-                "ns: prefixes recorded, all of them",
+        measureValues(
+                "ns: all prefixes recorded",
                 sizes(5_000, 20_000, 80_000),
                 n -> {
                     List<PrefixChain> chains = chains(n);
                     CacheEstimate cacheEstimate = cacheEstimate(n);
-                    return time(
+                    return medianNanos(
                             () ->
                                     chains.forEach(
                                             each -> cacheEstimate.recordCached("r", "i", each, 1)),
@@ -71,15 +73,19 @@
                 });
     }
 
-    /** What reading the runners' cache events would cost: the daemon does not, docs/CAPACITY.md. */
-    private void measureEvents() {
-        nanos(
+    /**
+     * Measures what applying the runners' cache events would cost. The daemon doesn't read these
+     * events (docs/CAPACITY.md).
+     */
+    private void measureCacheEvents() {
+        measureValues(
                 "ns: cache events applied, a block stored and evicted again",
                 sizes(5_000, 20_000, 80_000),
                 n -> {
                     List<PrefixChain> chains = chains(n);
                     CacheEstimate cacheEstimate = cacheEstimate(n);
-                    return time(() -> chains.forEach(each -> applyEvents(cacheEstimate, each)), 1);
+                    return medianNanos(
+                            () -> chains.forEach(each -> applyEvents(cacheEstimate, each)), 1);
                 });
     }
 
@@ -89,62 +95,65 @@
     }
 
     private void measurePeers() {
-        bytes("bytes: peer known", sizes(7, 35, 350), this::freshness);
-        nanos(
-                "ns: report of all peers taken in",
+        measureBytes("bytes: peer known", sizes(7, 35, 350), this::freshness);
+        measureValues(
+                "ns: report on all peers recorded",
                 sizes(7, 35, 350),
                 n -> {
                     Freshness freshness = freshness(n);
                     ProbeReport report = report(n, 2_000 * MILLI);
-                    return time(() -> freshness.recordReport(report, 3_000 * MILLI), 200);
+                    return medianNanos(() -> freshness.recordReport(report, 3_000 * MILLI), 200);
                 });
-        nanos(
-                "ns: report of all peers made",
+        measureValues(
+                "ns: report on all peers created",
                 sizes(7, 35, 350),
                 n -> {
                     Freshness freshness = freshness(n);
-                    return time(() -> freshness.report(3_000 * MILLI, false), 200);
+                    return medianNanos(() -> freshness.report(3_000 * MILLI, false), 200);
                 });
-        nanos(
-                "ns: report of all peers packed",
+        measureValues(
+                "ns: report on all peers packed",
                 sizes(7, 35, 350),
                 n -> {
-                    MemberIndex roll = freshness(n).roll();
+                    MemberIndex memberIndex = freshness(n).roll();
                     ProbeReport report = report(n, 2_000 * MILLI);
-                    return time(() -> PackedAges.pack(roll, report.members()), 200);
+                    return medianNanos(() -> PackedAges.pack(memberIndex, report.members()), 200);
                 });
-        nanos(
-                "ns: roll of all peers made",
+        measureValues(
+                "ns: index of all peers created",
                 sizes(7, 35, 350),
                 n -> {
                     Freshness freshness = freshness(n);
-                    return time(freshness::roll, 200);
+                    return medianNanos(freshness::roll, 200);
                 });
-        nanos("message bytes: probe answer", sizes(7, 35, 350), n -> packed(n).getSerializedSize());
-        nanos(
+        measureValues(
+                "message bytes: probe answer",
+                sizes(7, 35, 350),
+                n -> packed(n).getSerializedSize());
+        measureValues(
                 "message bytes: probe answer with names",
                 sizes(7, 35, 350),
                 n -> answer(n).getSerializedSize());
     }
 
     private void measureConfiguration() {
-        bytes("bytes: team in the configuration", sizes(50, 500, 5_000), this::teams);
-        nanos(
+        measureBytes("bytes: team in the configuration", sizes(50, 500, 5_000), this::teams);
+        measureValues(
                 "ns: one object changed, by objects held",
                 sizes(50, 500, 2_600),
                 n -> {
                     ConfigurationState state = teams(n);
                     VersionedObject changed = team(n / 2, 9_999);
-                    return time(() -> state.with(List.of(changed)), 50);
+                    return medianNanos(() -> state.with(List.of(changed)), 50);
                 });
-        nanos(
+        measureValues(
                 "message bytes: versions of all objects",
                 sizes(50, 500, 2_600),
                 n -> versions(n).getSerializedSize());
     }
 
     private void measureRequests() {
-        bytes(
+        measureBytes(
                 "bytes: token bucket",
                 sizes(1_000, 10_000, 50_000),
                 n -> {
@@ -154,12 +163,12 @@
                     }
                     return buckets;
                 });
-        bytes(
-                "bytes: action record with a 100-byte answer",
+        measureBytes(
+                "bytes: action record with a 100-byte response",
                 sizes(1_000, 10_000, 50_000),
                 SlopeMeasurement::ledger);
-        nanos(
-                "ns: placement, by runners of the pool",
+        measureValues(
+                "ns: placement, by runners in the pool",
                 sizes(8, 27, 110),
                 n -> {
                     PlacementPolicy policy = new PlacementPolicy(PlacementSettings.defaults());
@@ -169,14 +178,14 @@
                         loads.add(new RunnerLoad("runner-" + index, "i", index, 0));
                     }
                     PrefixChain chain = chain(1);
-                    return time(() -> policy.choose(chain, loads, cacheEstimate, 1), 200);
+                    return medianNanos(() -> policy.choose(chain, loads, cacheEstimate, 1), 200);
                 });
-        nanos(
+        measureValues(
                 "ns: prefix hashed, by kilobytes of prompt",
                 sizes(4, 16, 64),
                 n -> {
                     List<String> segments = List.of("x".repeat(n * 1_024));
-                    return time(() -> PrefixChain.of("team", "model", 1, segments), 100);
+                    return medianNanos(() -> PrefixChain.of("team", "model", 1, segments), 100);
                 });
     }
 
@@ -184,28 +193,28 @@
         return new int[] {small, middle, large};
     }
 
-    private void nanos(String name, int[] sizes, IntToDoubleFunction measure) {
+    private void measureValues(String name, int[] sizes, IntToDoubleFunction measure) {
         List<Slope.Point> points = new ArrayList<>();
         for (int size : sizes) {
             points.add(new Slope.Point(size, measure.applyAsDouble(size)));
         }
-        print(name, points);
+        printSlope(name, points);
     }
 
-    private void bytes(String name, int[] sizes, IntFunction<Object> make) {
+    private void measureBytes(String name, int[] sizes, IntFunction<Object> factory) {
         List<Slope.Point> points = new ArrayList<>();
         for (int size : sizes) {
-            java.lang.ref.Reference.reachabilityFence(make.apply(Math.min(size, 50)));
+            java.lang.ref.Reference.reachabilityFence(factory.apply(Math.min(size, 50)));
             long before = usedHeap();
-            Object kept = make.apply(size);
+            Object retained = factory.apply(size);
             long after = usedHeap();
             points.add(new Slope.Point(size, after - before));
-            java.lang.ref.Reference.reachabilityFence(kept);
+            java.lang.ref.Reference.reachabilityFence(retained);
         }
-        print(name, points);
+        printSlope(name, points);
     }
 
-    private void print(String name, List<Slope.Point> points) {
+    private void printSlope(String name, List<Slope.Point> points) {
         out.println(Slope.fit(name, points));
         for (Slope.Point point : points) {
             out.printf("    at %9.0f: %14.0f%n", point.size(), point.value());
@@ -214,25 +223,25 @@
 
     private static long usedHeap() {
         Runtime runtime = Runtime.getRuntime();
-        long least = Long.MAX_VALUE;
+        long minimum = Long.MAX_VALUE;
         for (int repeat = 0; repeat < 4; repeat++) {
             System.gc();
-            least = Math.min(least, runtime.totalMemory() - runtime.freeMemory());
+            minimum = Math.min(minimum, runtime.totalMemory() - runtime.freeMemory());
         }
-        return least;
+        return minimum;
     }
 
-    private static double time(Runnable action, int inner) {
-        List<Double> medians = new ArrayList<>();
+    private static double medianNanos(Runnable action, int iterations) {
+        List<Double> samples = new ArrayList<>();
         for (int repeat = 0; repeat < REPEATS; repeat++) {
-            long begin = System.nanoTime();
-            for (int index = 0; index < inner; index++) {
+            long start = System.nanoTime();
+            for (int index = 0; index < iterations; index++) {
                 action.run();
             }
-            medians.add((System.nanoTime() - begin) / (double) inner);
+            samples.add((System.nanoTime() - start) / (double) iterations);
         }
-        medians.sort(null);
-        return medians.get(REPEATS / 2);
+        samples.sort(null);
+        return samples.get(REPEATS / 2);
     }
 
     private static PrefixChain chain(int number) {
@@ -276,8 +285,8 @@
     }
 
     private ProbeAnswer packed(int peers) {
-        MemberIndex roll = freshness(peers).roll();
-        PackedAges packed = PackedAges.pack(roll, report(peers, 2_000 * MILLI).members());
+        MemberIndex memberIndex = freshness(peers).roll();
+        PackedAges packed = PackedAges.pack(memberIndex, report(peers, 2_000 * MILLI).members());
         return ProbeAnswer.newBuilder()
                 .setVm("zone-a-1")
                 .setIncarnation(member(1).incarnation())
--- a/measurement/src/main/java/org/bronzelug/measure/Spread.java
+++ b/measurement/src/main/java/org/bronzelug/measure/Spread.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * A figure over several seeds. Immutable.
+ * The minimum, median and maximum of a metric over several runs. Immutable.
  *
- * @param least the least of the runs
- * @param median the middle one
- * @param most the greatest
+ * @param minimum the lowest value
+ * @param median the middle value; the upper of the two if the number of values is even
+ * @param maximum the highest value
  */
-record Spread(double least, double median, double most) {
+record Spread(double minimum, double median, double maximum) {
     static Spread of(List<Double> values) {
         List<Double> sorted = values.stream().sorted().toList();
         return new Spread(
@@ -18,6 +18,6 @@
 
     @Override
     public String toString() {
-        return String.format("%.3f (%.3f–%.3f)", median, least, most);
+        return String.format("%.3f (%.3f–%.3f)", median, minimum, maximum);
     }
 }
--- a/measurement/src/main/java/org/bronzelug/measure/SpreadingMeasurement.java
+++ b/measurement/src/main/java/org/bronzelug/measure/SpreadingMeasurement.java
@@ -7,38 +7,39 @@
 import java.util.Random;
 
 /**
- * How one change of the configuration reaches all VMs, by three ways, over a lossy network in
- * virtual time: the shipped one (the writer pushes to all, probes level the rest), probes alone,
- * and two redundant trees with probes behind them. Stateless.
+ * Simulates how one configuration change propagates to all VMs over a lossy network in virtual
+ * time, and compares three methods: the production one (the writer pushes to all VMs, and probes
+ * reach those that the push missed), probes alone, and two redundant trees with probes as a
+ * fallback. Stateless.
  *
- * <p>Redundant trees are an idea of Esposito, Cotroneo and Gokhale, "Reliable Publish/Subscribe
+ * <p>The redundant trees are from Esposito, Cotroneo and Gokhale, "Reliable Publish/Subscribe
  * Middleware for Time-sensitive Internet-scale Applications".
  */
 final class SpreadingMeasurement {
     private static final double MILLI = 1.0;
-    private static final double PROBE_MILLIS = 200;
-    private static final int PROBES_A_ROUND = 2;
-    private static final double LOSS = 0.05;
+    private static final double PROBE_PERIOD_MILLIS = 200;
+    private static final int PROBES_PER_ROUND = 2;
+    private static final double LOSS_RATE = 0.05;
     private static final int TREE_DEGREE = 8;
-    private static final int ANNOUNCEMENT_TRIES = 6;
-    private static final double RETRY_MILLIS = 450;
+    private static final int ANNOUNCEMENT_ATTEMPTS = 6;
+    private static final double RETRY_INTERVAL_MILLIS = 450;
 
     private SpreadingMeasurement() {}
 
-    /** The ways compared. */
+    /** A propagation method. */
     private enum Way {
         PUSH_TO_ALL,
         PROBES_ALONE,
         TWO_TREES
     }
 
-    /** What one run cost. */
-    private record Cost(double lastMillis, double messages, double mostByOneVm) {}
+    /** The results of one run. */
+    private record Cost(double lastMillis, double messages, double maximumByOneVm) {}
 
     static void run(PrintStream out, int seeds) {
         out.printf(
                 "5 %% of messages lost, 1–5 ms each way, %d probes every %.0f ms; %d seeds%n",
-                PROBES_A_ROUND, PROBE_MILLIS, seeds);
+                PROBES_PER_ROUND, PROBE_PERIOD_MILLIS, seeds);
         out.printf(
                 "%-14s %6s %-28s %-28s %-24s%n",
                 "way", "VMs", "ms to the last VM", "messages until then", "most by one VM");
@@ -52,7 +53,7 @@
     private static void print(PrintStream out, Way way, int size, int seeds) {
         List<Cost> costs = new ArrayList<>();
         for (int seed = 0; seed < seeds; seed++) {
-            costs.add(new Spreading(size, new Random(1_000 + seed)).run(way));
+            costs.add(new Propagation(size, new Random(1_000 + seed)).run(way));
         }
         out.printf(
                 "%-14s %6d %-28s %-28s %-24s%n",
@@ -60,18 +61,18 @@
                 size,
                 Spread.of(costs.stream().map(Cost::lastMillis).toList()),
                 Spread.of(costs.stream().map(Cost::messages).toList()),
-                Spread.of(costs.stream().map(Cost::mostByOneVm).toList()));
+                Spread.of(costs.stream().map(Cost::maximumByOneVm).toList()));
     }
 
-    /** One change on its way. */
-    private static final class Spreading {
+    /** The propagation of one change. */
+    private static final class Propagation {
         private final int size;
         private final Random random;
         private final double[] knownAt;
         private final double[] sentBy;
         private double messages;
 
-        private Spreading(int size, Random random) {
+        private Propagation(int size, Random random) {
             this.size = size;
             this.random = random;
             this.knownAt = new double[size];
@@ -84,28 +85,28 @@
             switch (way) {
                 case PUSH_TO_ALL -> pushToAll();
                 case TWO_TREES -> {
-                    tree();
-                    tree();
+                    sendAlongTree();
+                    sendAlongTree();
                 }
                 default -> {
-                    // The probes below do it all.
+                    // Only the probes below spread the change.
                 }
             }
             probeUntilAllKnow();
             double last = 0;
-            double most = 0;
+            double maximum = 0;
             for (int vm = 0; vm < size; vm++) {
                 last = Math.max(last, knownAt[vm]);
-                most = Math.max(most, sentBy[vm]);
+                maximum = Math.max(maximum, sentBy[vm]);
             }
-            return new Cost(last, messages, most);
+            return new Cost(last, messages, maximum);
         }
 
         private void pushToAll() {
-            for (int attempt = 0; attempt < ANNOUNCEMENT_TRIES; attempt++) {
+            for (int attempt = 0; attempt < ANNOUNCEMENT_ATTEMPTS; attempt++) {
                 int reached = 0;
                 for (int vm = 1; vm < size; vm++) {
-                    send(0, vm, attempt * RETRY_MILLIS);
+                    send(0, vm, attempt * RETRY_INTERVAL_MILLIS);
                     reached += knownAt[vm] < Double.MAX_VALUE ? 1 : 0;
                 }
                 if (reached + 1 > size / 2) {
@@ -114,8 +115,11 @@
             }
         }
 
-        /** A tree over the VMs in random order; two of them share few inner nodes. */
-        private void tree() {
+        /**
+         * Sends the change along a tree that has the VMs in random order, so that two trees have
+         * few inner nodes in common.
+         */
+        private void sendAlongTree() {
             List<Integer> order = new ArrayList<>();
             for (int vm = 1; vm < size; vm++) {
                 order.add(vm);
@@ -125,9 +129,9 @@
             double[] arrival = new double[size];
             java.util.Arrays.fill(arrival, Double.MAX_VALUE);
             arrival[0] = 0;
-            for (int place = 1; place < size; place++) {
-                int parent = order.get((place - 1) / TREE_DEGREE);
-                int child = order.get(place);
+            for (int position = 1; position < size; position++) {
+                int parent = order.get((position - 1) / TREE_DEGREE);
+                int child = order.get(position);
                 if (arrival[parent] < Double.MAX_VALUE && send(parent, child, arrival[parent])) {
                     arrival[child] = arrival[parent] + 3 * MILLI;
                 }
@@ -137,7 +141,7 @@
         private boolean send(int from, int to, double at) {
             messages++;
             sentBy[from]++;
-            if (random.nextDouble() < LOSS) {
+            if (random.nextDouble() < LOSS_RATE) {
                 return false;
             }
             knownAt[to] = Math.min(knownAt[to], at + 1 + random.nextInt(5));
@@ -145,33 +149,35 @@
         }
 
         private void probeUntilAllKnow() {
-            double[] offset = random.doubles(size, 0, PROBE_MILLIS).toArray();
-            for (double round = 0; unknownAt(round); round += PROBE_MILLIS) {
+            double[] offset = random.doubles(size, 0, PROBE_PERIOD_MILLIS).toArray();
+            for (double round = 0; isUnknownAt(round); round += PROBE_PERIOD_MILLIS) {
                 for (int vm = 0; vm < size; vm++) {
-                    for (int probe = 0; probe < PROBES_A_ROUND; probe++) {
+                    for (int probe = 0; probe < PROBES_PER_ROUND; probe++) {
                         pull(vm, random.nextInt(size), round + offset[vm]);
                     }
                 }
             }
         }
 
-        private boolean unknownAt(double time) {
-            for (double known : knownAt) {
-                if (known > time) {
+        private boolean isUnknownAt(double time) {
+            for (double learnedAt : knownAt) {
+                if (learnedAt > time) {
                     return true;
                 }
             }
             return false;
         }
 
-        /** A probe and its answer; only those that bring the change are counted as messages. */
+        /**
+         * Sends a probe and its response. Counts them as messages only if they deliver the change.
+         */
         private void pull(int vm, int peer, double at) {
-            boolean lost = random.nextDouble() < 1 - (1 - LOSS) * (1 - LOSS);
-            double there = at + 1 + random.nextInt(5);
-            if (!lost && knownAt[peer] <= there && knownAt[vm] > there) {
+            boolean lost = random.nextDouble() < 1 - (1 - LOSS_RATE) * (1 - LOSS_RATE);
+            double arrivalAtPeer = at + 1 + random.nextInt(5);
+            if (!lost && knownAt[peer] <= arrivalAtPeer && knownAt[vm] > arrivalAtPeer) {
                 messages += 2;
                 sentBy[peer]++;
-                knownAt[vm] = Math.min(knownAt[vm], there + 1 + random.nextInt(5));
+                knownAt[vm] = Math.min(knownAt[vm], arrivalAtPeer + 1 + random.nextInt(5));
             }
         }
     }
--- a/measurement/src/main/java/org/bronzelug/measure/Workload.java
+++ b/measurement/src/main/java/org/bronzelug/measure/Workload.java
@@ -5,8 +5,9 @@
 import java.util.Random;
 
 /**
- * Prompts with nested shared prefixes whose hot set shifts halfway: a team's rules, then one of its
- * sheets (Zipf), then the question. Deterministic for a seed; not thread-safe.
+ * Generates prompts with nested shared prefixes: the team's rules, one of the team's sheets (chosen
+ * by a Zipf distribution), and a unique question. The most frequent sheets change during the run.
+ * Deterministic for a given seed. Not thread-safe.
  */
 final class Workload {
     static final int SHEETS = 200;
@@ -15,11 +16,11 @@
     private static final int QUESTION_TOKENS = 160;
     private static final double ZIPF_EXPONENT = 1.4;
     private static final int BYTES_PER_TOKEN = 4;
-    private static final int SHIFT = 60;
+    private static final int HOT_SET_SHIFT = 60;
 
     private final Profile profile;
     private final Random random;
-    private final double[] sheetWeights = new double[SHEETS];
+    private final double[] cumulativeSheetWeights = new double[SHEETS];
     private final List<String> rules = new ArrayList<>();
     private final List<List<String>> sheets = new ArrayList<>();
     private int questions;
@@ -30,19 +31,19 @@
         double sum = 0;
         for (int rank = 0; rank < SHEETS; rank++) {
             sum += Math.pow(rank + 1, -ZIPF_EXPONENT);
-            sheetWeights[rank] = sum;
+            cumulativeSheetWeights[rank] = sum;
         }
         for (int team = 0; team < profile.teamShares().size(); team++) {
-            rules.add(text("rules of " + team, RULES_TOKENS));
-            List<String> own = new ArrayList<>();
+            rules.add(padded("rules of " + team, RULES_TOKENS));
+            List<String> teamSheets = new ArrayList<>();
             for (int sheet = 0; sheet < SHEETS; sheet++) {
-                own.add(text("sheet " + sheet + " of " + team, SHEET_TOKENS));
+                teamSheets.add(padded("sheet " + sheet + " of " + team, SHEET_TOKENS));
             }
-            sheets.add(own);
+            sheets.add(teamSheets);
         }
     }
 
-    /** Draws the team of the next request. */
+    /** Draws the team of the next request according to the teams' fractions of the load. */
     int nextTeam() {
         double draw = random.nextDouble();
         int team = 0;
@@ -53,23 +54,27 @@
         return team;
     }
 
-    /** Draws a prompt of a team. */
+    /**
+     * Draws a prompt of a team.
+     *
+     * @param shifted whether the most frequent sheets have changed
+     */
     List<String> nextPrompt(int team, boolean shifted) {
-        double draw = random.nextDouble() * sheetWeights[SHEETS - 1];
+        double draw = random.nextDouble() * cumulativeSheetWeights[SHEETS - 1];
         int rank = 0;
-        while (sheetWeights[rank] < draw) {
+        while (cumulativeSheetWeights[rank] < draw) {
             rank++;
         }
-        int sheet = shifted ? (rank + SHIFT) % SHEETS : rank;
-        String question = text("question " + questions++, QUESTION_TOKENS);
+        int sheet = shifted ? (rank + HOT_SET_SHIFT) % SHEETS : rank;
+        String question = padded("question " + questions++, QUESTION_TOKENS);
         return List.of(rules.get(team), sheets.get(team).get(sheet), question);
     }
 
-    private static String text(String start, int tokens) {
-        StringBuilder text = new StringBuilder(start).append(' ');
-        while (text.length() < tokens * BYTES_PER_TOKEN) {
-            text.append('x');
+    private static String padded(String start, int tokens) {
+        StringBuilder padded = new StringBuilder(start).append(' ');
+        while (padded.length() < tokens * BYTES_PER_TOKEN) {
+            padded.append('x');
         }
-        return text.substring(0, tokens * BYTES_PER_TOKEN);
+        return padded.substring(0, tokens * BYTES_PER_TOKEN);
     }
 }
--- a/measurement/src/main/java/org/bronzelug/measure/package-info.java
+++ b/measurement/src/main/java/org/bronzelug/measure/package-info.java
@@ -1,2 +1,4 @@
-/** Measures the shipped decisions over virtual time, and the slopes that capacity is planned by. */
+/**
+ * Simulations of the routing policy in virtual time, and cost measurements for capacity planning.
+ */
 package org.bronzelug.measure;
--- a/measurement/src/test/java/org/bronzelug/measure/QuickstartTest.java
+++ b/measurement/src/test/java/org/bronzelug/measure/QuickstartTest.java
@@ -6,10 +6,13 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** The README's first command: the whole system as separate processes, step by step. */
+/**
+ * Runs the README's first command, which starts the whole system as separate processes, and checks
+ * the output of each step.
+ */
 class QuickstartTest {
     @Test
-    void everyStepOfTheQuickstartShowsWhatItPromises() throws Exception {
+    void everyStepPrintsItsExpectedResult() throws Exception {
         Path root = Path.of(System.getProperty("bronzelug.root"));
         Process quickstart =
                 new ProcessBuilder(root.resolve("quickstart").toString())
--- a/measurement/src/test/java/org/bronzelug/measure/SimulationTest.java
+++ b/measurement/src/test/java/org/bronzelug/measure/SimulationTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The measuring tool itself: the same seed gives the same figures, and the line is the line. */
+/** Tests the measurement program: runs are reproducible by seed, and line fitting is exact. */
 class SimulationTest {
     private static RunResult run(Policy policy, Fault fault, long seed) {
         RunSettings settings = new RunSettings(Profile.association(), fault, false, 40, 64);
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void aSeedGivesTheSameRunAgain() {
+    void sameSeedGivesSameResult() {
         assertThat(run(Policy.BRONZELUG, Fault.NONE, 1))
                 .isEqualTo(run(Policy.BRONZELUG, Fault.NONE, 1));
         assertThat(run(Policy.BRONZELUG, Fault.NONE, 1))
@@ -24,14 +24,14 @@
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void noRequestIsRefusedThatIsWithinItsTeamsRate(Fault fault) {
+    void noRequestWithinItsTeamsRateIsRejected(Fault fault) {
         RunResult result = run(Policy.BRONZELUG, fault, 3);
-        assertThat(result.refusedWithinRate()).isEqualTo(0.0);
+        assertThat(result.rejectedWithinRate()).isEqualTo(0.0);
         assertThat(result.requests()).isGreaterThan(500.0);
     }
 
     @Test
-    void theLeastSquaresLineGoesThroughPointsOnALine() {
+    void leastSquaresFitIsExactForPointsOnALine() {
         Slope slope =
                 Slope.fit(
                         "line",
