--- a/tools/src/main/java/org/bronzelug/cli/AuditCommand.java
+++ b/tools/src/main/java/org/bronzelug/cli/AuditCommand.java
@@ -7,7 +7,7 @@
 import org.bronzelug.api.AuditEntry;
 import org.bronzelug.api.AuditRequest;
 
-/** Shows who changed an object, when, and why. Stateless. */
+/** Shows who changed an object, when and why. Stateless. */
 final class AuditCommand implements Command {
     @Override
     public String name() {
@@ -16,7 +16,7 @@
 
     @Override
     public String help() {
-        return "show the changes of an object";
+        return "show the audit trail of an object";
     }
 
     @Override
@@ -28,8 +28,8 @@
     public void run(Namespace options, CommandEnvironment environment) throws CommandException {
         AuditRequest request =
                 AuditRequest.newBuilder().setObject(options.getString("object")).build();
-        AuditAnswer answer = environment.operator(operator -> operator.audit(request));
-        CommandEnvironment.requireNone(answer.hasProblem(), answer.getProblem());
+        AuditAnswer answer = environment.callOperator(operator -> operator.audit(request));
+        CommandEnvironment.throwIfPresent(answer.hasProblem(), answer.getProblem());
         StringBuilder text = new StringBuilder();
         for (AuditEntry entry : answer.getEntriesList()) {
             text.append(
--- a/tools/src/main/java/org/bronzelug/cli/BronzelugMain.java
+++ b/tools/src/main/java/org/bronzelug/cli/BronzelugMain.java
@@ -10,7 +10,7 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparsers;
 
-/** The command-line tool as a program. Stateless. */
+/** The entry point of the command-line tool. Stateless. */
 public final class BronzelugMain {
     private static final String VMS = "BRONZELUG_VMS";
 
@@ -20,7 +20,7 @@
         System.exit(run(arguments, System.getenv(), System.out, System.err).number());
     }
 
-    /** Runs one command. */
+    /** Runs one command and returns its exit code. */
     static ExitCode run(
             String[] arguments, Map<String, String> environment, PrintStream out, PrintStream err) {
         ArgumentParser parser = parser();
@@ -29,15 +29,16 @@
             Output output = new Output(out, options.getString("output").equals("json"));
             List<String> vms = vms(options, environment);
             Secrets secrets = new Secrets(environment);
-            try (CommandEnvironment working = new CommandEnvironment(vms, output, secrets)) {
-                command(options.getString("command")).run(options, working);
+            try (CommandEnvironment commandEnvironment =
+                    new CommandEnvironment(vms, output, secrets)) {
+                command(options.getString("command")).run(options, commandEnvironment);
             }
             return ExitCode.OK;
         } catch (net.sourceforge.argparse4j.helper.HelpScreenException help) {
             parser.handleError(help);
             return ExitCode.OK;
-        } catch (ArgumentParserException wrong) {
-            parser.handleError(wrong);
+        } catch (ArgumentParserException invalid) {
+            parser.handleError(invalid);
             return ExitCode.USAGE;
         } catch (CommandException failed) {
             err.println(failed.getMessage());
@@ -47,16 +48,16 @@
 
     private static List<String> vms(Namespace options, Map<String, String> environment)
             throws CommandException {
-        String given = options.getString("vms");
-        String text = given == null ? environment.get(VMS) : given;
+        String argument = options.getString("vms");
+        String text = argument == null ? environment.get(VMS) : argument;
         if (text == null || text.isBlank()) {
             throw new CommandException(
-                    ExitCode.USAGE, "name VMs with --vms or " + VMS + ", as IP:port,IP:port");
+                    ExitCode.USAGE, "specify VMs with --vms or " + VMS + " as IP:port,IP:port");
         }
         return List.of(text.split(","));
     }
 
-    /** All subcommands, in the order that the help shows. */
+    /** Returns the names of all subcommands, in the order that the help shows. */
     public static List<String> commandNames() {
         return commands().stream().map(Command::name).toList();
     }
@@ -80,12 +81,13 @@
         ArgumentParser parser =
                 ArgumentParsers.newFor("bronzelug")
                         .build()
-                        .description("Operates and calls a bronzelug system.")
+                        .description("Administers a bronzelug system and sends requests to it.")
                         .epilog(
-                                "Keys and secrets come from the environment only: BRONZELUG_KEY or"
-                                        + " BRONZELUG_KEY_FILE, BRONZELUG_OPERATOR_SECRET or"
-                                        + " BRONZELUG_OPERATOR_SECRET_FILE. Exit codes: 0 done, 1"
-                                        + " refused, 2 in doubt, 64 usage, 69 no VM reached.");
+                                "Keys and secrets are read from the environment only: BRONZELUG_KEY"
+                                        + " or BRONZELUG_KEY_FILE, BRONZELUG_OPERATOR_SECRET or"
+                                        + " BRONZELUG_OPERATOR_SECRET_FILE. Exit codes: 0 success,"
+                                        + " 1 rejected, 2 in doubt, 64 usage error, 69 no VM"
+                                        + " reachable.");
         parser.addArgument("--vms").help("addresses of VMs: IP:port,IP:port (or " + VMS + ")");
         parser.addArgument("--output").choices("text", "json").setDefault("text");
         Subparsers subparsers = parser.addSubparsers().dest("command").metavar("COMMAND");
--- a/tools/src/main/java/org/bronzelug/cli/CallerCommands.java
+++ b/tools/src/main/java/org/bronzelug/cli/CallerCommands.java
@@ -19,7 +19,7 @@
 import org.bronzelug.client.ClientException;
 import org.bronzelug.client.RouterClient;
 
-/** The subcommands that call as a team. Stateless. */
+/** The subcommands that send requests with a team's key. Stateless. */
 final class CallerCommands {
     private CallerCommands() {}
 
@@ -27,7 +27,7 @@
         return List.of(new Locate(), new Generate(), new Act(), new Cancel());
     }
 
-    /** Asks which VM to use. */
+    /** Shows which VMs serve a prompt, and the prefix for new action ids. */
     private static final class Locate implements Command {
         @Override
         public String name() {
@@ -36,7 +36,7 @@
 
         @Override
         public String help() {
-            return "ask the system which VM to use";
+            return "show which VMs to use";
         }
 
         @Override
@@ -62,7 +62,7 @@
                 text.append("action prefix ").append(answer.getActionPrefix());
                 environment.output().print(answer, text.toString());
             } catch (ClientException failed) {
-                throw CommandEnvironment.failure(failed);
+                throw CommandEnvironment.toCommandException(failed);
             }
         }
     }
@@ -85,7 +85,7 @@
             parser.addArgument("--segment")
                     .action(Arguments.append())
                     .required(true)
-                    .help("a level of the prompt, the most shared first; @FILE reads a file");
+                    .help("prompt segment, the most widely shared first; @FILE reads a file");
             parser.addArgument("--max-tokens").type(Integer.class).setDefault(64);
             parser.addArgument("--deadline-ms").type(Long.class).setDefault(0L);
             parser.addArgument("--request-id").setDefault("");
@@ -107,10 +107,12 @@
                 Finished finished =
                         environment
                                 .router()
-                                .generate(request, chunk -> output.part(chunk, chunk.getText()));
+                                .generate(
+                                        request,
+                                        chunk -> output.printChunk(chunk, chunk.getText()));
                 output.print(finished, "\n" + describe(finished));
             } catch (ClientException failed) {
-                throw CommandEnvironment.failure(failed);
+                throw CommandEnvironment.toCommandException(failed);
             }
         }
 
@@ -141,11 +143,11 @@
         try {
             return Files.readString(Path.of(argument.substring(1)));
         } catch (IOException unreadable) {
-            throw new CommandException(ExitCode.USAGE, "can't read " + argument.substring(1));
+            throw new CommandException(ExitCode.USAGE, "cannot read " + argument.substring(1));
         }
     }
 
-    /** Runs one call of an application runner. */
+    /** Runs one call on an application runner. */
     private static final class Act implements Command {
         @Override
         public String name() {
@@ -154,20 +156,20 @@
 
         @Override
         public String help() {
-            return "run one call of an application runner, at most once";
+            return "run one call on an application runner, at most once";
         }
 
         @Override
         public void addArguments(Subparser parser) {
             parser.addArgument("--pool").required(true).help("name of the pool");
             parser.addArgument("--method").required(true).help("method of the service");
-            parser.addArgument("--body").setDefault("").help("body; @FILE reads a file");
+            parser.addArgument("--body").setDefault("").help("request body; @FILE reads a file");
             parser.addArgument("--action-id")
                     .setDefault("")
-                    .help("id of an earlier try; without it a new one is made and printed");
+                    .help("action id to retry; if absent, a new id is generated and printed");
             parser.addArgument("--idempotent")
                     .action(Arguments.storeTrue())
-                    .help("the call may be repeated");
+                    .help("the call may be retried");
         }
 
         @Override
@@ -175,21 +177,21 @@
             try {
                 RouterClient router = environment.router();
                 LocateAnswer location = router.locate("", "");
-                String given = options.getString("action_id");
-                String fresh = location.getActionPrefix() + UUID.randomUUID();
+                String givenId = options.getString("action_id");
+                String newId = location.getActionPrefix() + UUID.randomUUID();
                 RunActionRequest request =
                         RunActionRequest.newBuilder()
-                                .setActionId(given.isEmpty() ? fresh : given)
+                                .setActionId(givenId.isEmpty() ? newId : givenId)
                                 .setPool(options.getString("pool"))
                                 .setMethod(options.getString("method"))
                                 .setBody(ByteString.copyFromUtf8(text(options.getString("body"))))
                                 .setIdempotent(options.getBoolean("idempotent"))
                                 .build();
-                RunActionAnswer answer = router.act(request, location);
+                RunActionAnswer answer = router.runAction(request, location);
                 environment.output().print(answer, describe(request, answer));
-                CommandEnvironment.requireNone(answer.hasProblem(), answer.getProblem());
+                CommandEnvironment.throwIfPresent(answer.hasProblem(), answer.getProblem());
             } catch (ClientException failed) {
-                throw CommandEnvironment.failure(failed);
+                throw CommandEnvironment.toCommandException(failed);
             }
         }
 
@@ -214,7 +216,7 @@
 
         @Override
         public String help() {
-            return "stop a generation";
+            return "cancel a generation";
         }
 
         @Override
@@ -226,7 +228,7 @@
         public void run(Namespace options, CommandEnvironment environment) throws CommandException {
             boolean found = environment.router().cancel(options.getString("request"));
             if (!found) {
-                throw new CommandException(ExitCode.REFUSED, "no VM runs this request");
+                throw new CommandException(ExitCode.REFUSED, "no VM has this request in progress");
             }
         }
     }
--- a/tools/src/main/java/org/bronzelug/cli/ChangeCommand.java
+++ b/tools/src/main/java/org/bronzelug/cli/ChangeCommand.java
@@ -8,10 +8,12 @@
 import org.bronzelug.api.ChangeRequest;
 
 /**
- * A subcommand that applies one change.
+ * A subcommand that applies one configuration change. Immutable.
  *
- * @param arguments adds the change's own arguments
- * @param change sets the change in the request
+ * @param name the subcommand's name on the command line
+ * @param help one line for the list of subcommands
+ * @param arguments adds the subcommand's own arguments
+ * @param change sets the change in the request from the parsed options
  */
 record ChangeCommand(
         String name,
@@ -25,12 +27,12 @@
         arguments.accept(parser);
         parser.addArgument("--operator")
                 .setDefault(System.getProperty("user.name", "unknown"))
-                .help("who changes it, for the audit trail");
-        parser.addArgument("--reason").setDefault("").help("why, for the audit trail");
+                .help("operator's name for the audit trail");
+        parser.addArgument("--reason").setDefault("").help("reason for the audit trail");
         parser.addArgument("--expect-version")
                 .type(Long.class)
                 .setDefault(0L)
-                .help("refuse the change if the object has another version");
+                .help("reject the change if the object has a different version");
     }
 
     @Override
@@ -41,14 +43,15 @@
                         .setReason(options.getString("reason"))
                         .setExpectedVersion(options.getLong("expect_version"));
         change.accept(options, request);
-        ChangeAnswer answer = environment.operator(operator -> operator.change(request.build()));
+        ChangeAnswer answer =
+                environment.callOperator(operator -> operator.change(request.build()));
         if (!answer.getKey().isEmpty()) {
-            // The key alone on its line, so that a script can keep it in a file.
+            // Prints only the key, so that a script can redirect it to a file.
             environment.output().print(answer, answer.getKey());
         } else if (!answer.hasProblem()) {
             environment.output().print(answer, describe(answer));
         }
-        CommandEnvironment.requireNone(answer.hasProblem(), answer.getProblem());
+        CommandEnvironment.throwIfPresent(answer.hasProblem(), answer.getProblem());
     }
 
     private static String describe(ChangeAnswer answer) {
--- a/tools/src/main/java/org/bronzelug/cli/ChangeCommands.java
+++ b/tools/src/main/java/org/bronzelug/cli/ChangeCommands.java
@@ -23,12 +23,12 @@
         return List.of(
                 new ChangeCommand(
                         "set-team",
-                        "create a team, or change its rate",
+                        "create a team or change its rate",
                         ChangeCommands::teamArguments,
                         ChangeCommands::setTeam),
                 new ChangeCommand(
                         "issue-key",
-                        "issue a key; it is shown this once",
+                        "issue a key; it is shown only once",
                         ChangeCommands::keyArguments,
                         ChangeCommands::issueKey),
                 new ChangeCommand(
@@ -38,7 +38,7 @@
                         ChangeCommands::withdrawKey),
                 new ChangeCommand(
                         "set-pool",
-                        "create an endpoint pool, or change it",
+                        "create or change an endpoint pool",
                         ChangeCommands::poolArguments,
                         ChangeCommands::setPool),
                 new ChangeCommand(
@@ -48,17 +48,17 @@
                         ChangeCommands::join),
                 new ChangeCommand(
                         "leave-endpoint",
-                        "give an endpoint no new work",
+                        "stop sending new requests to an endpoint",
                         ChangeCommands::endpointArguments,
                         ChangeCommands::leave),
                 new ChangeCommand(
                         "order-weights",
-                        "have a pool's runners load weights",
+                        "order a pool's runners to load a version of the weights",
                         ChangeCommands::weightsArguments,
                         ChangeCommands::orderWeights),
                 new ChangeCommand(
                         "remove-vm",
-                        "take a VM that is gone for good out of the roster",
+                        "remove a permanently lost VM from the roster",
                         ChangeCommands::removeArguments,
                         ChangeCommands::removeVm));
     }
@@ -67,7 +67,7 @@
         parser.addArgument("vm").help("name of the VM");
         parser.addArgument("--switched-off")
                 .action(Arguments.storeTrue())
-                .help("you vouch that it is off: needed where a majority of the roster is gone");
+                .help("confirm that the VM is off; required if a majority of the roster is lost");
     }
 
     private static void removeVm(Namespace options, ChangeRequest.Builder request) {
@@ -80,7 +80,10 @@
     private static void teamArguments(Subparser parser) {
         parser.addArgument("team").help("name of the team");
         parser.addArgument("--rate").type(Double.class).required(true).help("tokens per second");
-        parser.addArgument("--burst").type(Double.class).required(true).help("tokens at once");
+        parser.addArgument("--burst")
+                .type(Double.class)
+                .required(true)
+                .help("burst size in tokens");
     }
 
     private static void setTeam(Namespace options, ChangeRequest.Builder request) {
@@ -113,18 +116,18 @@
     private static void poolArguments(Subparser parser) {
         parser.addArgument("pool").help("name of the pool");
         parser.addArgument("--kind").choices("model", "application").required(true);
-        parser.addArgument("--model").setDefault("").help("model that its runners serve");
+        parser.addArgument("--model").setDefault("").help("model that the pool's runners serve");
         parser.addArgument("--weights").type(Long.class).setDefault(1L).help("weights version");
         parser.addArgument("--concurrent-loads")
                 .type(Integer.class)
                 .setDefault(2)
-                .help("weight loads at once");
+                .help("maximum number of concurrent weight loads");
         parser.addArgument("--deduplicates")
                 .action(Arguments.storeTrue())
-                .help("the endpoints refuse a second run of an action id by themselves");
+                .help("the endpoints themselves reject a second run of an action id");
         parser.addArgument("--checks-fencing")
                 .action(Arguments.storeTrue())
-                .help("the endpoints refuse orders with an old fencing number");
+                .help("the endpoints reject orders with an outdated fencing number");
     }
 
     private static void setPool(Namespace options, ChangeRequest.Builder request) {
--- a/tools/src/main/java/org/bronzelug/cli/Command.java
+++ b/tools/src/main/java/org/bronzelug/cli/Command.java
@@ -3,17 +3,21 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
 
-/** One subcommand. Implementations are stateless. */
+/** A subcommand. Implementations are stateless. */
 interface Command {
-    /** The subcommand's name on the command line. */
+    /** Returns the subcommand's name on the command line. */
     String name();
 
-    /** One line for the list of subcommands. */
+    /** Returns one line for the list of subcommands. */
     String help();
 
     /** Adds the subcommand's own arguments. */
     void addArguments(Subparser parser);
 
-    /** Runs it; the environment is closed by the caller. */
+    /**
+     * Runs the subcommand.
+     *
+     * @param environment stays open; whoever calls this method closes it
+     */
     void run(Namespace options, CommandEnvironment environment) throws CommandException;
 }
--- a/tools/src/main/java/org/bronzelug/cli/CommandEnvironment.java
+++ b/tools/src/main/java/org/bronzelug/cli/CommandEnvironment.java
@@ -12,9 +12,9 @@
 import org.bronzelug.client.Credential;
 import org.bronzelug.client.RouterClient;
 
-/** What subcommands work with. Not thread-safe. */
+/** The connections, credentials and output that subcommands use. Not thread-safe. */
 final class CommandEnvironment implements AutoCloseable {
-    private static final long CALL_SECONDS = 30;
+    private static final long CALL_TIMEOUT_SECONDS = 30;
 
     private final List<String> vms;
     private final Output output;
@@ -35,35 +35,37 @@
         return new RouterClient(channels, Credential.ofKey(secrets.read(Secrets.KEY)), vms);
     }
 
-    /** Calls the first VM that can be reached, as an operator. */
-    <T> T operator(Function<OperatorGrpc.OperatorBlockingStub, T> call) throws CommandException {
+    /** Makes a call with the operators' secret to the first reachable VM. */
+    <T> T callOperator(Function<OperatorGrpc.OperatorBlockingStub, T> call)
+            throws CommandException {
         Credential secret = Credential.ofOperator(secrets.read(Secrets.OPERATOR_SECRET));
-        StatusRuntimeException last = null;
+        StatusRuntimeException lastFailure = null;
         for (String vm : vms) {
             try {
                 return call.apply(
                         OperatorGrpc.newBlockingStub(channels.to(vm))
                                 .withCallCredentials(secret)
-                                .withDeadlineAfter(CALL_SECONDS, TimeUnit.SECONDS));
+                                .withDeadlineAfter(CALL_TIMEOUT_SECONDS, TimeUnit.SECONDS));
             } catch (StatusRuntimeException failed) {
                 if (failed.getStatus().getCode() != io.grpc.Status.Code.UNAVAILABLE) {
                     throw new CommandException(
                             ExitCode.REFUSED, String.valueOf(failed.getStatus().getDescription()));
                 }
-                last = failed;
+                lastFailure = failed;
             }
         }
-        throw new CommandException(ExitCode.UNREACHABLE, "no VM of " + vms + " answered: " + last);
+        throw new CommandException(
+                ExitCode.UNREACHABLE, "none of the VMs " + vms + " answered: " + lastFailure);
     }
 
-    /** Turns a problem of an answer into the command's failure. */
-    static void requireNone(boolean present, Problem problem) throws CommandException {
+    /** Throws the problem of a response as a {@link CommandException}, if it has one. */
+    static void throwIfPresent(boolean present, Problem problem) throws CommandException {
         if (present) {
-            throw failure(problem);
+            throw toCommandException(problem);
         }
     }
 
-    static CommandException failure(Problem problem) {
+    static CommandException toCommandException(Problem problem) {
         boolean inDoubt = problem.getExecution() == Execution.IN_DOUBT;
         String retry =
                 problem.getRetryAfterMs() > 0
@@ -80,11 +82,11 @@
                         + retry);
     }
 
-    static CommandException failure(ClientException failed) {
+    static CommandException toCommandException(ClientException failed) {
         return failed.problem().getCode().equals("UNREACHABLE")
                         && failed.problem().getExecution() == Execution.NOT_RUN
                 ? new CommandException(ExitCode.UNREACHABLE, failed.getMessage())
-                : failure(failed.problem());
+                : toCommandException(failed.problem());
     }
 
     @Override
--- a/tools/src/main/java/org/bronzelug/cli/CommandException.java
+++ b/tools/src/main/java/org/bronzelug/cli/CommandException.java
@@ -1,6 +1,6 @@
 package org.bronzelug.cli;
 
-/** A command failed; carries the exit code. */
+/** Thrown when a command fails; carries the exit code. */
 final class CommandException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/tools/src/main/java/org/bronzelug/cli/ExitCode.java
+++ b/tools/src/main/java/org/bronzelug/cli/ExitCode.java
@@ -1,6 +1,6 @@
 package org.bronzelug.cli;
 
-/** The exit codes, documented in docs/CLI.md. */
+/** The exit codes of the command-line tool, documented in docs/CLI.md. */
 public enum ExitCode {
     OK(0),
     REFUSED(1),
--- a/tools/src/main/java/org/bronzelug/cli/Output.java
+++ b/tools/src/main/java/org/bronzelug/cli/Output.java
@@ -5,7 +5,7 @@
 import com.google.protobuf.util.JsonFormat;
 import java.io.PrintStream;
 
-/** Prints answers as text or JSON. Not thread-safe. */
+/** Prints responses as text or JSON. Not thread-safe. */
 final class Output {
     private final PrintStream out;
     private final boolean json;
@@ -15,14 +15,16 @@
         this.json = json;
     }
 
-    /** Prints an answer: the message itself as JSON, or the text made of it. */
+    /** Prints a response: the message as JSON, or the given text. */
     void print(Message message, String text) {
         out.println(json ? toJson(message) : text);
         out.flush();
     }
 
-    /** Prints a part of a stream. */
-    void part(Message message, String text) {
+    /**
+     * Prints one chunk of a stream: the message as a line of JSON, or the text without a line end.
+     */
+    void printChunk(Message message, String text) {
         if (json) {
             out.println(toJson(message));
         } else {
--- a/tools/src/main/java/org/bronzelug/cli/Secrets.java
+++ b/tools/src/main/java/org/bronzelug/cli/Secrets.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * Reads keys and secrets from the environment or from files that it names, never from arguments,
- * where other users of the machine could see them. Immutable.
+ * Reads keys and secrets from environment variables, or from files named by environment variables.
+ * Never reads them from command-line arguments, which other users of the machine can see.
+ * Immutable.
  */
 final class Secrets {
     static final String KEY = "BRONZELUG_KEY";
@@ -20,7 +21,7 @@
         this.environment = Map.copyOf(environment);
     }
 
-    /** The secret under a name of the environment, or in the file that NAME_FILE names. */
+    /** Returns the value of the variable {@code name}, or the content of the file in NAME_FILE. */
     String read(String name) throws CommandException {
         String value = environment.get(name);
         if (value != null) {
@@ -29,14 +30,15 @@
         String file = environment.get(name + FILE_SUFFIX);
         if (file == null) {
             throw new CommandException(
-                    ExitCode.USAGE, "set " + name + " or " + name + FILE_SUFFIX + " first");
+                    ExitCode.USAGE,
+                    "set " + name + " or " + name + FILE_SUFFIX + " in the environment");
         }
         try {
             return Files.readString(Path.of(file)).strip();
         } catch (IOException unreadable) {
             throw new CommandException(
                     ExitCode.USAGE,
-                    name + FILE_SUFFIX + " names " + file + ", which can't be read");
+                    name + FILE_SUFFIX + " is set to " + file + ", which cannot be read");
         }
     }
 }
--- a/tools/src/main/java/org/bronzelug/cli/StatusCommand.java
+++ b/tools/src/main/java/org/bronzelug/cli/StatusCommand.java
@@ -8,9 +8,9 @@
 import org.bronzelug.api.TeamStatus;
 import org.bronzelug.api.VmStatus;
 
-/** Shows VMs, endpoints and shares at a glance. Stateless. */
+/** Shows the VMs, the endpoints and the teams' rate shares as tables. Stateless. */
 final class StatusCommand implements Command {
-    private static final int SHORT_INCARNATION = 8;
+    private static final int SHORT_INCARNATION_LENGTH = 8;
 
     @Override
     public String name() {
@@ -19,23 +19,23 @@
 
     @Override
     public String help() {
-        return "show VMs, endpoints and shares, as one VM sees them";
+        return "show VMs, endpoints and rate shares as one VM sees them";
     }
 
     @Override
     public void addArguments(Subparser parser) {
-        // None of its own.
+        // This subcommand has no arguments of its own.
     }
 
     @Override
     public void run(Namespace options, CommandEnvironment environment) throws CommandException {
         StatusAnswer status =
-                environment.operator(
+                environment.callOperator(
                         operator -> operator.status(StatusRequest.getDefaultInstance()));
-        environment.output().print(status, table(status));
+        environment.output().print(status, formatTables(status));
     }
 
-    private static String table(StatusAnswer status) {
+    private static String formatTables(StatusAnswer status) {
         StringBuilder text = new StringBuilder();
         text.append(
                 String.format(
@@ -45,30 +45,30 @@
                         status.getFreshnessMs(),
                         status.getPlatformReachable() ? "reachable" : "unreachable",
                         status.getPlatformCalls()));
-        text.append(row("VM", "ZONE", "ADDRESS", "STATE", "INCARNATION"));
+        text.append(formatRow("VM", "ZONE", "ADDRESS", "STATE", "INCARNATION"));
         for (VmStatus vm : status.getVmsList()) {
             text.append(
-                    row(
+                    formatRow(
                             vm.getVm(),
                             vm.getAvailabilityZone(),
                             vm.getAddress(),
                             vm.getState(),
                             shorten(vm.getIncarnation())));
         }
-        text.append(row("POOL", "ENDPOINT", "STATE", "IN FLIGHT", "SERVED HERE"));
+        text.append(formatRow("POOL", "ENDPOINT", "STATE", "IN FLIGHT", "SERVED HERE"));
         for (EndpointStatus endpoint : status.getEndpointsList()) {
             text.append(
-                    row(
+                    formatRow(
                             endpoint.getPool(),
                             endpoint.getEndpoint(),
                             endpoint.getState(),
                             Integer.toString(endpoint.getInFlight()),
                             Long.toString(endpoint.getServed())));
         }
-        text.append(row("TEAM", "RATE", "BURST", "HELD BY", "ADMITTED/REFUSED HERE"));
+        text.append(formatRow("TEAM", "RATE", "BURST", "HELD BY", "ADMITTED/REFUSED HERE"));
         for (TeamStatus team : status.getTeamsList()) {
             text.append(
-                    row(
+                    formatRow(
                             team.getTeam(),
                             Double.toString(team.getTokensPerSecond()),
                             Double.toString(team.getBurstTokens()),
@@ -78,11 +78,11 @@
         return text.toString().stripTrailing();
     }
 
-    private static String row(String... cells) {
+    private static String formatRow(String... cells) {
         return String.format("%-16s %-16s %-22s %-14s %s%n", (Object[]) cells);
     }
 
     private static String shorten(String incarnation) {
-        return incarnation.substring(0, Math.min(SHORT_INCARNATION, incarnation.length()));
+        return incarnation.substring(0, Math.min(SHORT_INCARNATION_LENGTH, incarnation.length()));
     }
 }
--- a/tools/src/main/java/org/bronzelug/client/Channels.java
+++ b/tools/src/main/java/org/bronzelug/client/Channels.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** One channel a VM, opened when needed. Thread-safe. */
+/** Caches one gRPC channel per VM, opened on first use. Thread-safe. */
 public final class Channels implements AutoCloseable {
     private final Map<String, ManagedChannel> channels = new ConcurrentHashMap<>();
 
-    /** The channel to the VM at "IP number:port". */
+    /** Returns the channel to the VM at an address of the form "IP:port". */
     public ManagedChannel to(String address) {
         return channels.computeIfAbsent(
                 address,
--- a/tools/src/main/java/org/bronzelug/client/ClientException.java
+++ b/tools/src/main/java/org/bronzelug/client/ClientException.java
@@ -3,7 +3,10 @@
 import org.bronzelug.api.Execution;
 import org.bronzelug.api.Problem;
 
-/** A request did not succeed; tells whether it ran, and when to come back. */
+/**
+ * Thrown when a request fails. Its {@link #problem} says whether the request may have run, and when
+ * to retry it.
+ */
 public final class ClientException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -25,7 +28,7 @@
                 Problem.newBuilder()
                         .setCode("UNREACHABLE")
                         .setMessage(message)
-                        .setRemedy("check the addresses, then ask again")
+                        .setRemedy("check the addresses, then retry")
                         .setExecution(execution)
                         .build());
     }
--- a/tools/src/main/java/org/bronzelug/client/Credential.java
+++ b/tools/src/main/java/org/bronzelug/client/Credential.java
@@ -4,7 +4,9 @@
 import io.grpc.Metadata;
 import java.util.concurrent.Executor;
 
-/** A secret that goes with each call in one header. Immutable; its text form hides it. */
+/**
+ * Sends a secret in a header of each call. Immutable. {@link #toString} does not reveal the secret.
+ */
 public final class Credential extends CallCredentials {
     private final Metadata.Key<String> header;
     private final String secret;
@@ -14,12 +16,12 @@
         this.secret = secret;
     }
 
-    /** A team's key. */
+    /** Returns the credential of a team's key. */
     public static Credential ofKey(String key) {
         return new Credential("bronzelug-key", key);
     }
 
-    /** The operators' secret. */
+    /** Returns the credential of the operators' secret. */
     public static Credential ofOperator(String secret) {
         return new Credential("bronzelug-operator", secret);
     }
--- a/tools/src/main/java/org/bronzelug/client/RouterClient.java
+++ b/tools/src/main/java/org/bronzelug/client/RouterClient.java
@@ -27,26 +27,27 @@
 import org.bronzelug.api.VmAddress;
 
 /**
- * A caller's client.
+ * A client for callers, which fails over between VMs.
  *
- * <p>Invariants: the chunks given on are numbered without a gap also when a VM is lost, or falls
- * silent, in between; an action is retried only under the same id. Thread-safe but for one
- * generation, which belongs to one thread.
+ * <p>Invariants: the offsets of the chunks passed to the consumer have no gap, even if a VM fails
+ * or stops responding during the stream; an action is retried only with the same id.
+ *
+ * <p>Thread-safe. Each generation is confined to the thread that calls {@link #generate}.
  */
 public final class RouterClient {
     private static final int ROUNDS = 3;
-    private static final long PAUSE_MILLIS = 100;
-    private static final long SHORT_CALL_MILLIS = 1_500;
+    private static final long RETRY_PAUSE_MILLIS = 100;
+    private static final long SHORT_CALL_TIMEOUT_MILLIS = 1_500;
     private static final Metadata.Key<Problem> PROBLEM_TRAILER =
             ProtoUtils.keyForProto(Problem.getDefaultInstance());
-    private static final Set<String> TRY_ANOTHER_VM = Set.of("STOPPING", "NOT_FRESH");
+    private static final Set<String> FAILOVER_CODES = Set.of("STOPPING", "NOT_FRESH");
 
     private final Channels channels;
     private final Credential key;
     private final List<String> knownVms;
 
     /**
-     * @param knownVms addresses of some VMs, to ask which one to use
+     * @param knownVms the addresses of some VMs, which are asked in order for the VM to use
      */
     public RouterClient(Channels channels, Credential key, List<String> knownVms) {
         this.channels = channels;
@@ -55,25 +56,25 @@
     }
 
     /**
-     * Asks the system which VM to use, each known VM a few times.
+     * Asks the known VMs which VM to use, for up to {@value #ROUNDS} rounds.
      *
-     * <p>The failure this answers: on a busy machine the first connection of a process takes as
-     * long as a call may, and the only VM that is known counts as silent.
+     * <p>Without the further rounds, a client that knows only one VM would fail on a busy machine,
+     * where opening the first connection of a process can take longer than the timeout of a call.
      */
     public LocateAnswer locate(String model, String rootSegment) throws ClientException {
         LocateRequest request =
                 LocateRequest.newBuilder().setModel(model).setRootSegment(rootSegment).build();
-        StatusRuntimeException last = null;
+        StatusRuntimeException lastFailure = null;
         for (int round = 0; round < ROUNDS; round++) {
             for (String vm : knownVms) {
                 try {
                     return shortStub(vm).locate(request);
                 } catch (StatusRuntimeException failed) {
-                    last = failed;
+                    lastFailure = failed;
                     Optional<Problem> problem = problemOf(failed);
                     boolean isFinal =
                             problem.isPresent()
-                                    && !TRY_ANOTHER_VM.contains(problem.get().getCode());
+                                    && !FAILOVER_CODES.contains(problem.get().getCode());
                     if (isFinal) {
                         throw new ClientException(problem.get());
                     }
@@ -81,7 +82,8 @@
             }
         }
         throw new ClientException(
-                "no VM of " + knownVms + " answered: " + describe(last), Execution.NOT_RUN);
+                "none of the VMs " + knownVms + " answered: " + describe(lastFailure),
+                Execution.NOT_RUN);
     }
 
     private static Optional<Problem> problemOf(StatusRuntimeException failed) {
@@ -90,28 +92,29 @@
     }
 
     private static String describe(StatusRuntimeException failed) {
-        return failed == null ? "none was named" : failed.getStatus().toString();
+        return failed == null ? "no VM address was given" : failed.getStatus().toString();
     }
 
     private RouterGrpc.RouterBlockingStub stub(String address) {
         return RouterGrpc.newBlockingStub(channels.to(address)).withCallCredentials(key);
     }
 
-    /** For calls that a VM answers by itself: one that takes longer has fallen silent. */
+    /** Returns a stub for calls that a VM handles locally, with a short deadline. */
     private RouterGrpc.RouterBlockingStub shortStub(String address) {
-        return stub(address).withDeadlineAfter(SHORT_CALL_MILLIS, TimeUnit.MILLISECONDS);
+        return stub(address).withDeadlineAfter(SHORT_CALL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Generates, giving on each chunk as it comes, and goes on at another VM where one is lost.
+     * Runs a generation and passes each chunk to the consumer as it arrives. If the VM fails,
+     * resumes the stream on another VM after the last chunk received.
      *
-     * @throws ClientException with the system's final answer
+     * @throws ClientException if the system rejects the request or the generation fails on all VMs
      */
     public Finished generate(GenerateRequest request, Consumer<Chunk> chunks)
             throws ClientException {
         LocateAnswer location = locate(request.getModel(), request.getSegments(0));
         GenerateRequest next = request;
-        Problem last = Problem.getDefaultInstance();
+        Problem lastProblem = Problem.getDefaultInstance();
         for (int round = 0; round < ROUNDS; round++) {
             for (String address : addresses(location)) {
                 StreamAttempt attempt = new StreamAttempt(next, chunks);
@@ -119,21 +122,21 @@
                 if (outcome.finished != null) {
                     return outcome.finished;
                 }
-                next = attempt.rest();
-                last = outcome.problem;
-                if (!TRY_ANOTHER_VM.contains(last.getCode())) {
-                    throw new ClientException(last);
+                next = attempt.remainingRequest();
+                lastProblem = outcome.problem;
+                if (!FAILOVER_CODES.contains(lastProblem.getCode())) {
+                    throw new ClientException(lastProblem);
                 }
             }
-            pause();
+            pauseBeforeRetry();
         }
-        throw new ClientException(last);
+        throw new ClientException(lastProblem);
     }
 
-    /** How one attempt ended: exactly one field is set. */
+    /** The outcome of one attempt; exactly one field is not null. */
     private record Outcome(Finished finished, Problem problem) {}
 
-    /** A generation at one VM. */
+    /** One attempt of a generation, on one VM. */
     private static final class StreamAttempt {
         private final GenerateRequest request;
         private final Consumer<Chunk> chunks;
@@ -152,16 +155,16 @@
             try {
                 return call.run(() -> readAll(stub.generate(request), call));
             } catch (StatusRuntimeException broken) {
-                return lost(broken.getStatus().toString());
+                return vmLost(broken.getStatus().toString());
             }
         }
 
         private Outcome readAll(Iterator<GenerateEvent> events, WatchedCall call) {
             while (events.hasNext()) {
                 GenerateEvent event = events.next();
-                call.heard();
+                call.recordEvent();
                 switch (event.getEventCase()) {
-                    case CHUNK -> take(event.getChunk());
+                    case CHUNK -> acceptChunk(event.getChunk());
                     case FINISHED -> {
                         return new Outcome(event.getFinished(), null);
                     }
@@ -170,15 +173,15 @@
                     }
                 }
             }
-            return lost("the stream ended early");
+            return vmLost("the stream ended early");
         }
 
-        private static Outcome lost(String reason) {
+        private static Outcome vmLost(String reason) {
             Problem problem = Problem.newBuilder().setCode("STOPPING").setMessage(reason).build();
             return new Outcome(null, problem);
         }
 
-        private void take(Chunk chunk) {
+        private void acceptChunk(Chunk chunk) {
             if (chunk.getOffset() == nextOffset) {
                 nextOffset++;
                 text.append(chunk.getText());
@@ -186,7 +189,7 @@
             }
         }
 
-        private GenerateRequest rest() {
+        private GenerateRequest remainingRequest() {
             return request.toBuilder()
                     .setStartOffset(nextOffset)
                     .setTextSoFar(text.toString())
@@ -195,11 +198,11 @@
     }
 
     /**
-     * Runs a call; a lost answer is asked for again under the same id, through every VM.
+     * Runs an action. If the response is lost, retries with the same action id on each VM in turn.
      *
-     * @throws ClientException where no VM gave an answer: the call is in doubt
+     * @throws ClientException if no VM responded; the action is then in doubt
      */
-    public RunActionAnswer act(RunActionRequest request, LocateAnswer location)
+    public RunActionAnswer runAction(RunActionRequest request, LocateAnswer location)
             throws ClientException {
         String lastFailure = "";
         for (int round = 0; round < ROUNDS; round++) {
@@ -208,7 +211,7 @@
                     RouterGrpc.RouterBlockingStub stub = stub(address);
                     RunActionAnswer answer =
                             new WatchedCall(stub).run(() -> stub.runAction(request));
-                    boolean isFinal = !TRY_ANOTHER_VM.contains(answer.getProblem().getCode());
+                    boolean isFinal = !FAILOVER_CODES.contains(answer.getProblem().getCode());
                     if (isFinal) {
                         return answer;
                     }
@@ -217,12 +220,16 @@
                     lastFailure = broken.getStatus().toString();
                 }
             }
-            pause();
+            pauseBeforeRetry();
         }
         throw new ClientException("no VM answered: " + lastFailure, Execution.IN_DOUBT);
     }
 
-    /** Cancels a generation, wherever it runs. */
+    /**
+     * Cancels a generation, whichever VM runs it.
+     *
+     * @return whether a VM had the generation in progress
+     */
     public boolean cancel(String requestId) {
         boolean found = false;
         for (String vm : knownVms) {
@@ -231,7 +238,7 @@
                 CancelAnswer answer = shortStub(vm).cancel(request);
                 found |= answer.getFound();
             } catch (StatusRuntimeException unreachable) {
-                // Another VM may run it.
+                // Another VM may run the generation.
                 continue;
             }
         }
@@ -254,10 +261,10 @@
         return new ArrayList<>(addresses);
     }
 
-    private static void pause() {
+    private static void pauseBeforeRetry() {
         try {
-            TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
-        } catch (InterruptedException stopped) {
+            TimeUnit.MILLISECONDS.sleep(RETRY_PAUSE_MILLIS);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/tools/src/main/java/org/bronzelug/client/WatchedCall.java
+++ b/tools/src/main/java/org/bronzelug/client/WatchedCall.java
@@ -10,18 +10,19 @@
 import org.bronzelug.api.RouterGrpc;
 
 /**
- * One call at one VM, broken off where the VM falls silent.
+ * A call to one VM that is cancelled if the VM stops responding.
  *
- * <p>The failure: a VM freezes, or the network to it drops everything; no connection breaks, and
- * the caller waits for nothing. While nothing comes, the VM is asked something small beside the
- * call; {@link #VAIN_QUESTIONS} questions in vain in a row end the call. A VM that is merely slow
- * (its runners are busy) answers the question, whatever the answer is, and the call goes on.
+ * <p>If a VM freezes, or the network drops all packets to it, the connection stays open and the
+ * caller would wait in vain. So a watch thread probes the VM with a small call whenever the watched
+ * call has received nothing for {@link #PROBE_MILLIS}, and cancels the watched call after {@link
+ * #FAILED_PROBE_LIMIT} consecutive probes without a response. A VM that is only slow, because its
+ * runners are busy, responds to the probe, if only with an error, and the call continues.
  *
- * <p>Used by one thread; its own watch runs beside.
+ * <p>Confined to one thread, except for the internal watch thread.
  */
 final class WatchedCall {
-    static final long QUESTION_MILLIS = 1_000;
-    static final int VAIN_QUESTIONS = 2;
+    static final long PROBE_MILLIS = 1_000;
+    static final int FAILED_PROBE_LIMIT = 2;
 
     private final RouterGrpc.RouterBlockingStub stub;
     private final CountDownLatch ended = new CountDownLatch(1);
@@ -31,24 +32,25 @@
         this.stub = stub;
     }
 
-    /** Says that something came. */
-    void heard() {
+    /** Records that the call received an event from the VM. */
+    void recordEvent() {
         receivedNanos = System.nanoTime();
     }
 
     /**
      * Makes the call and returns its result.
      *
-     * @throws StatusRuntimeException as the call does; of status CANCELLED where the VM fell silent
+     * @throws StatusRuntimeException if the call throws it; with status CANCELLED if the VM stopped
+     *     responding
      */
     <T> T run(Supplier<T> call) {
         Context.CancellableContext context = Context.current().withCancellation();
         Thread watch = Thread.ofVirtual().start(() -> watch(context));
-        Context before = context.attach();
+        Context previous = context.attach();
         try {
             return call.get();
         } finally {
-            context.detach(before);
+            context.detach(previous);
             ended.countDown();
             watch.interrupt();
             context.cancel(null);
@@ -56,40 +58,41 @@
     }
 
     private void watch(Context.CancellableContext context) {
-        int inVain = 0;
+        int failedProbes = 0;
         try {
-            while (!ended.await(QUESTION_MILLIS, TimeUnit.MILLISECONDS)) {
+            while (!ended.await(PROBE_MILLIS, TimeUnit.MILLISECONDS)) {
                 long silentNanos = System.nanoTime() - receivedNanos;
-                if (silentNanos < TimeUnit.MILLISECONDS.toNanos(QUESTION_MILLIS) || answers()) {
-                    inVain = 0;
-                } else if (++inVain >= VAIN_QUESTIONS) {
-                    context.cancel(new ClientSilenceException());
+                if (silentNanos < TimeUnit.MILLISECONDS.toNanos(PROBE_MILLIS)
+                        || respondsToProbe()) {
+                    failedProbes = 0;
+                } else if (++failedProbes >= FAILED_PROBE_LIMIT) {
+                    context.cancel(new SilentVmException());
                     return;
                 }
             }
         } catch (InterruptedException callEnded) {
-            // Nothing is left to watch.
+            // The call has ended, so there is nothing left to watch.
             return;
         }
     }
 
-    private boolean answers() {
+    private boolean respondsToProbe() {
         try {
-            stub.withDeadlineAfter(QUESTION_MILLIS, TimeUnit.MILLISECONDS)
+            stub.withDeadlineAfter(PROBE_MILLIS, TimeUnit.MILLISECONDS)
                     .locate(LocateRequest.getDefaultInstance());
             return true;
-        } catch (StatusRuntimeException refused) {
-            Status.Code code = refused.getStatus().getCode();
+        } catch (StatusRuntimeException failed) {
+            Status.Code code = failed.getStatus().getCode();
             return code != Status.Code.DEADLINE_EXCEEDED && code != Status.Code.UNAVAILABLE;
         }
     }
 
-    /** The cause that a broken-off call carries. */
-    private static final class ClientSilenceException extends Exception {
+    /** The cause of the cancellation of a call to a VM that stopped responding. */
+    private static final class SilentVmException extends Exception {
         private static final long serialVersionUID = 1;
 
-        ClientSilenceException() {
-            super("the VM fell silent");
+        SilentVmException() {
+            super("the VM stopped responding");
         }
     }
 }
--- a/tools/src/main/java/org/bronzelug/client/package-info.java
+++ b/tools/src/main/java/org/bronzelug/client/package-info.java
@@ -1,2 +1,2 @@
-/** A client for callers: finds the VM to use, resumes streams, retries safely. */
+/** A client for callers: locates the VM to use, resumes streams on failover, retries safely. */
 package org.bronzelug.client;
--- a/tools/src/test/java/org/bronzelug/cli/BronzelugMainTest.java
+++ b/tools/src/test/java/org/bronzelug/cli/BronzelugMainTest.java
@@ -16,7 +16,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The command line: exit codes, secrets, and its page. */
+/**
+ * Tests the exit codes and messages of the command line, and that docs/CLI.md lists its commands.
+ */
 class BronzelugMainTest {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -31,18 +33,18 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"status", "audit team/x", "nonsense", "generate"})
-    void wrongUseEndsWithTheUsageCode(String line) {
+    void invalidUsageReturnsTheUsageCode(String line) {
         assertThat(run(Map.of(), line.split(" "))).isEqualTo(ExitCode.USAGE);
     }
 
     @Test
-    void aMissingSecretIsNamedWithItsRemedy() {
+    void missingSecretIsNamedInTheMessage() {
         assertThat(run(Map.of(), "--vms", "127.0.0.1:1", "status")).isEqualTo(ExitCode.USAGE);
         assertThat(err.toString(StandardCharsets.UTF_8)).contains("BRONZELUG_OPERATOR_SECRET");
     }
 
     @Test
-    void anUnreachableVmHasItsOwnCode() {
+    void unreachableVmReturnsTheUnreachableCode() {
         Map<String, String> environment =
                 Map.of("BRONZELUG_OPERATOR_SECRET", "s", "BRONZELUG_KEY", "k");
         assertThat(run(environment, "--vms", "127.0.0.1:1", "status"))
@@ -52,15 +54,15 @@
     }
 
     @Test
-    void thePageHasExactlyTheCommandsOfTheCode() throws Exception {
+    void documentationListsExactlyTheCommands() throws Exception {
         Path root = Path.of(System.getProperty("bronzelug.root"));
         Matcher rows =
                 Pattern.compile("^\\| `([a-z-]+)` \\| (?:caller|operator)", Pattern.MULTILINE)
                         .matcher(Files.readString(root.resolve("docs/CLI.md")));
-        List<String> named = new ArrayList<>();
+        List<String> documented = new ArrayList<>();
         while (rows.find()) {
-            named.add(rows.group(1));
+            documented.add(rows.group(1));
         }
-        assertThat(named).containsExactlyElementsIn(BronzelugMain.commandNames());
+        assertThat(documented).containsExactlyElementsIn(BronzelugMain.commandNames());
     }
 }
--- a/tools/src/test/java/org/bronzelug/client/RouterClientTest.java
+++ b/tools/src/test/java/org/bronzelug/client/RouterClientTest.java
@@ -31,19 +31,22 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A caller's stream is whole although its VM dies in the middle.
+ * Guards against truncated streams when a VM dies during a generation.
  *
- * <p>What the caller would see: an answer that breaks off. The order: the stream runs through one
- * VM, the VM dies after some chunks, the client goes on at another VM with the chunks it holds.
- * Why: the second VM knows nothing of the stream but what the client tells it.
+ * <p>The VM that serves the stream is killed after some chunks. The client must resume the stream
+ * on another VM and send it the text received so far, because that VM has no other record of the
+ * stream.
  */
 class RouterClientTest {
-    /** Three, so that those left are a majority and one can take the team's rate over. */
+    /**
+     * Three VMs, so that the remaining two are a majority and one of them can take ownership of the
+     * team's rate.
+     */
     private static final List<String> VMS = List.of("vm-1", "vm-2", "vm-3");
 
     private static final int CHUNKS = 300;
-    private static final int KILLED_AFTER = 20;
-    private static final String SECRET = "a-secret-of-the-operators";
+    private static final int KILL_AFTER_CHUNKS = 20;
+    private static final String OPERATOR_SECRET = "a-secret-of-the-operators";
 
     @TempDir Path folder;
     private final PlatformStandin platform = new PlatformStandin("127.0.0.1", 0);
@@ -58,13 +61,13 @@
         platform.start();
         runner.start();
         Files.writeString(folder.resolve("peers"), "a-secret-of-the-daemons");
-        Files.writeString(folder.resolve("operators"), SECRET);
+        Files.writeString(folder.resolve("operators"), OPERATOR_SECRET);
         for (String vm : VMS) {
             Daemon daemon = new Daemon(settings(vm));
             daemon.start();
             daemons.put(vm, daemon);
         }
-        awaitAll();
+        awaitCompleteRosters();
     }
 
     @AfterEach
@@ -75,22 +78,22 @@
         platform.stop();
     }
 
-    private void awaitAll() {
-        while (daemons.values().stream().anyMatch(RouterClientTest::missesOne)) {
+    private void awaitCompleteRosters() {
+        while (daemons.values().stream().anyMatch(RouterClientTest::hasIncompleteRoster)) {
             Thread.onSpinWait();
         }
     }
 
-    private static boolean missesOne(Daemon daemon) {
+    private static boolean hasIncompleteRoster(Daemon daemon) {
         return daemon.view().catalog().roster().size() < VMS.size();
     }
 
     private Settings settings(String vm) {
-        String any = "127.0.0.1:0";
+        String anyPort = "127.0.0.1:0";
         return new Settings(
                 vm,
                 "zone-a",
-                new Settings.Listen(any, any, any),
+                new Settings.Listen(anyPort, anyPort, anyPort),
                 new Settings.Advertise(Optional.empty(), Optional.empty()),
                 platform.url(),
                 List.of(),
@@ -109,11 +112,11 @@
                         (int) LimitField.MAXIMUM_PEER_FRAME_BYTES.usual()));
     }
 
-    private String setUp() {
+    private String createTeamWithPool() {
         OperatorGrpc.OperatorBlockingStub operator =
                 OperatorGrpc.newBlockingStub(channels.to(daemons.get("vm-1").callerAddress()))
-                        .withCallCredentials(Credential.ofOperator(SECRET));
-        ChangeRequest empty = ChangeRequest.getDefaultInstance();
+                        .withCallCredentials(Credential.ofOperator(OPERATOR_SECRET));
+        ChangeRequest emptyChange = ChangeRequest.getDefaultInstance();
         SetTeam team =
                 SetTeam.newBuilder()
                         .setTeam("team")
@@ -133,15 +136,15 @@
                         .setUrl(runner.url())
                         .build();
         IssueKey key = IssueKey.newBuilder().setTeam("team").setKeyName("first").build();
-        operator.change(empty.toBuilder().setSetTeam(team).build());
-        operator.change(empty.toBuilder().setSetPool(pool).build());
-        operator.change(empty.toBuilder().setJoinEndpoint(join).build());
-        return operator.change(empty.toBuilder().setIssueKey(key).build()).getKey();
+        operator.change(emptyChange.toBuilder().setSetTeam(team).build());
+        operator.change(emptyChange.toBuilder().setSetPool(pool).build());
+        operator.change(emptyChange.toBuilder().setJoinEndpoint(join).build());
+        return operator.change(emptyChange.toBuilder().setIssueKey(key).build()).getKey();
     }
 
     @Test
-    void aStreamIsWholeThoughItsVmDies() throws Exception {
-        String key = setUp();
+    void streamIsCompleteAfterItsVmDies() throws Exception {
+        String key = createTeamWithPool();
         List<String> vms = daemons.values().stream().map(Daemon::callerAddress).toList();
         RouterClient client = new RouterClient(channels, Credential.ofKey(key), vms);
         GenerateRequest request =
@@ -152,18 +155,18 @@
                         .addSegments("question")
                         .setMaxTokens(CHUNKS)
                         .build();
-        String serving = client.locate("faq", request.getSegments(0)).getVms(0).getVm();
+        String servingVm = client.locate("faq", request.getSegments(0)).getVms(0).getVm();
         List<Integer> offsets = new ArrayList<>();
         Finished finished =
                 client.generate(
                         request,
                         chunk -> {
                             offsets.add(chunk.getOffset());
-                            if (offsets.size() == KILLED_AFTER) {
-                                daemons.get(serving).kill();
+                            if (offsets.size() == KILL_AFTER_CHUNKS) {
+                                daemons.get(servingVm).kill();
                             }
                         });
         assertThat(offsets).isEqualTo(IntStream.range(0, CHUNKS).boxed().toList());
-        assertThat(finished.getVm()).isNotEqualTo(serving);
+        assertThat(finished.getVm()).isNotEqualTo(servingVm);
     }
 }
--- a/tools/src/test/java/org/bronzelug/client/SilentVmTest.java
+++ b/tools/src/test/java/org/bronzelug/client/SilentVmTest.java
@@ -29,40 +29,42 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A caller goes on at another VM when its VM freezes.
+ * Guards against calls that hang for a minute when a VM freezes without closing its connections.
  *
- * <p>What the caller would see: an answer that stands still for a minute. The order: the VM is
- * frozen before the call, in the middle of a stream, or while an action runs, and no connection
- * breaks. Why: only the end of a connection or of the time ended a call.
+ * <p>The VM freezes before the call, during a stream, or while an action runs. The client must
+ * detect this and fail over to another VM. A client that waits only for a closed connection or the
+ * deadline would hang.
  */
 @Timeout(60)
 class SilentVmTest {
     private static final int CHUNKS = 12;
-    private static final int FROZEN_AFTER = 5;
+    private static final int FREEZE_AFTER_CHUNKS = 5;
 
     private final Channels channels = new Channels();
-    private final VmStandin frozen = new VmStandin("frozen", FROZEN_AFTER);
+    private final VmStandin frozen = new VmStandin("frozen", FREEZE_AFTER_CHUNKS);
     private final VmStandin sound = new VmStandin("sound", CHUNKS);
     private final List<Server> servers = new ArrayList<>();
     private List<String> addresses;
 
-    /** A VM that sends so many chunks and then, unless it is done, never a word more. */
+    /**
+     * A VM that freezes after sending the given number of chunks, unless the stream is complete.
+     */
     private static final class VmStandin extends RouterGrpc.RouterImplBase {
         private final String name;
-        private final int speaks;
-        private final AtomicInteger unanswered = new AtomicInteger();
+        private final int chunksBeforeFreeze;
+        private final AtomicInteger locatesToIgnore = new AtomicInteger();
         private volatile boolean silent;
         private volatile LocateAnswer location = LocateAnswer.getDefaultInstance();
 
-        VmStandin(String name, int speaks) {
+        VmStandin(String name, int chunksBeforeFreeze) {
             this.name = name;
-            this.speaks = speaks;
+            this.chunksBeforeFreeze = chunksBeforeFreeze;
         }
 
         @Override
         public void locate(LocateRequest request, StreamObserver<LocateAnswer> observer) {
-            boolean late = unanswered.getAndDecrement() > 0;
-            if (!silent && !late) {
+            boolean ignored = locatesToIgnore.getAndDecrement() > 0;
+            if (!silent && !ignored) {
                 observer.onNext(location);
                 observer.onCompleted();
             }
@@ -70,7 +72,8 @@
 
         @Override
         public void generate(GenerateRequest request, StreamObserver<GenerateEvent> observer) {
-            int end = Math.min(request.getMaxTokens(), request.getStartOffset() + speaks);
+            int end =
+                    Math.min(request.getMaxTokens(), request.getStartOffset() + chunksBeforeFreeze);
             for (int offset = request.getStartOffset(); offset < end; offset++) {
                 Chunk chunk = Chunk.newBuilder().setOffset(offset).setText("word ").build();
                 observer.onNext(GenerateEvent.newBuilder().setChunk(chunk).build());
@@ -85,7 +88,7 @@
 
         @Override
         public void runAction(RunActionRequest request, StreamObserver<RunActionAnswer> observer) {
-            silent = speaks < CHUNKS;
+            silent = chunksBeforeFreeze < CHUNKS;
             if (!silent) {
                 observer.onNext(
                         RunActionAnswer.newBuilder()
@@ -102,8 +105,8 @@
         List<String> started = new ArrayList<>();
         LocateAnswer.Builder location = LocateAnswer.newBuilder();
         for (VmStandin vm : List.of(frozen, sound)) {
-            InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-            Server server = NettyServerBuilder.forAddress(any).addService(vm).build().start();
+            InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+            Server server = NettyServerBuilder.forAddress(anyPort).addService(vm).build().start();
             servers.add(server);
             started.add("127.0.0.1:" + server.getPort());
             location.addVms(VmAddress.newBuilder().setAddress(started.getLast()));
@@ -124,18 +127,18 @@
     }
 
     /**
-     * The machine is busy: the first question to the only known VM is not answered in time. The
-     * caller sees an answer all the same, a little later.
+     * The only known VM misses the deadline of the first locate call, as on a busy machine. The
+     * client must ask it again.
      */
     @Test
-    void theOnlyKnownVmIsAskedAgain() throws Exception {
-        sound.unanswered.set(1);
+    void locateIsRetriedOnTheOnlyKnownVm() throws Exception {
+        sound.locatesToIgnore.set(1);
         assertThat(client(List.of(addresses.get(1))).locate("model", "root").getVmsCount())
                 .isEqualTo(2);
     }
 
     @Test
-    void aStreamGoesOnAtAnotherVmWhenItsVmFreezes() throws Exception {
+    void streamResumesOnAnotherVmWhenItsVmFreezes() throws Exception {
         GenerateRequest request =
                 GenerateRequest.newBuilder()
                         .setRequestId("stream")
@@ -150,16 +153,16 @@
     }
 
     @Test
-    void anActionIsAskedForAtAnotherVmWhenItsVmFreezes() throws Exception {
+    void actionIsRetriedOnAnotherVmWhenItsVmFreezes() throws Exception {
         RunActionAnswer answer =
-                client(addresses).act(RunActionRequest.getDefaultInstance(), sound.location);
+                client(addresses).runAction(RunActionRequest.getDefaultInstance(), sound.location);
         assertThat(answer.getVm()).isEqualTo("sound");
     }
 
     @Test
-    void aVmThatNeverSaysAWordIsPassedOver() throws Exception {
-        try (ServerSocket mute = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            String silent = "127.0.0.1:" + mute.getLocalPort();
+    void locateSkipsAVmThatNeverResponds() throws Exception {
+        try (ServerSocket silentSocket = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            String silent = "127.0.0.1:" + silentSocket.getLocalPort();
             LocateAnswer answer = client(List.of(silent, addresses.get(1))).locate("model", "");
             assertThat(answer.getVmsCount()).isEqualTo(2);
         }
