--- a/examples/association-setup.sh
+++ b/examples/association-setup.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Sets up the association's pools and one team of five, through any of its VMs.
+# Sets up the association's pools and one of its five teams, through any of its VMs.
 # Needs BRONZELUG_VMS and BRONZELUG_OPERATOR_SECRET_FILE.
 set -eu
 bronzelug=$(dirname "$0")/../bin/bronzelug
-# A runner loads weights in about 0.4 s, slower while more than 2 do so.
+# A runner loads weights in about 0.4 s, and more slowly while more than 2 runners load weights.
 "$bronzelug" set-pool textwerk --kind model --model faq --concurrent-loads 2
 "$bronzelug" set-pool mitglieder-shop --kind application
 for number in 1 2 3 4 5 6 7 8; do
--- a/examples/taploen-setup.sh
+++ b/examples/taploen-setup.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Sets up Tapløn's pools and one team of five, through any of its VMs.
+# Sets up Tapløn's pools and one of its five teams, through any of its VMs.
 # Needs BRONZELUG_VMS and BRONZELUG_OPERATOR_SECRET_FILE.
 set -eu
 bronzelug=$(dirname "$0")/../bin/bronzelug
-# A runner loads weights in about 0.4 s, slower while more than 3 do so.
+# A runner loads weights in about 0.4 s, and more slowly while more than 3 runners load weights.
 "$bronzelug" set-pool lm-pool --kind model --model house-rules --concurrent-loads 3
 "$bronzelug" set-pool tab-core --kind application
 for number in 10 11 12 13 14 15 16 17 18 19 20 21 22; do
--- a/tools/jdk.sh
+++ b/tools/jdk.sh
@@ -1,4 +1,4 @@
-# Sourced by the scripts: finds a JDK of 21 or later and exports JAVA_HOME.
+# Sourced by the other scripts: finds JDK 21 or later and exports JAVA_HOME.
 java_major() {
     sed -n 's/^JAVA_VERSION="\([0-9]*\).*/\1/p' "$1/release" 2>/dev/null
 }
@@ -14,7 +14,7 @@
             fi
         fi
     done
-    echo "bronzelug needs a JDK of 21 or later: install one and set JAVA_HOME to it." >&2
+    echo "bronzelug needs JDK 21 or later: install it and set JAVA_HOME to its directory." >&2
     return 1
 }
 
--- a/tools/launch.sh
+++ b/tools/launch.sh
@@ -1,9 +1,9 @@
-# Sourced by the programs in bin/: runs a main class of a built module.
+# Sourced by the programs in bin/ and by ./measure: runs a main class of a built module.
 launch() {
     module=$1
     main_class=$2
     shift 2
-    # A short-lived program is done before the optimizing compiler pays off.
+    # The command-line tool ends before the optimizing compiler pays off.
     short_lived=
     [ "$module" = tools ] && short_lived=-XX:TieredStopAtLevel=1
     . "$root/tools/jdk.sh"
@@ -12,7 +12,7 @@
         exit 69
     fi
     class_path=$(echo "$root/$module/target/"bronzelug-*.jar | tr ' ' ':'):$root/$module/target/dependency/*
-    # A class-data archive, where tools/archive made one, halves the start-up time.
+    # The class-data sharing archive, if tools/archive has created it, halves the start-up time.
     # shellcheck disable=SC2086
     exec "$JAVA_HOME/bin/java" -XX:+UseSerialGC -Xshare:auto \
         -XX:SharedArchiveFile="$root/$module/target/classes.jsa" -Xlog:disable -Xlog:all=off \
