--- a/standin/src/main/java/org/bronzelug/standin/ApplicationRunnerStandin.java
+++ b/standin/src/main/java/org/bronzelug/standin/ApplicationRunnerStandin.java
@@ -14,13 +14,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * An application runner: a plain service some of whose calls may not be repeated.
+ * Simulates an application runner: a plain service with some calls that must not be retried.
  *
- * <p>It logs each run, so that a test can tell what really ran. Faults: answers lost after the run,
- * a delay, definitive refusals. Thread-safe.
+ * <p>The runner logs each execution, so that a test can check what really ran. Faults: responses
+ * lost after the execution, a delay, rejections before the execution. Thread-safe.
  */
 public final class ApplicationRunnerStandin extends HttpStandin {
-    /** Names the call to an endpoint that refuses a second run by itself. */
+    /** The id of an action; an endpoint that deduplicates executes each id only once. */
     public static final String ACTION_ID_HEADER = "x-action-id";
 
     private static final int CONFLICT = 409;
@@ -29,10 +29,10 @@
     private final boolean deduplicates;
     private final String incarnation = UUID.randomUUID().toString();
     private final ConcurrentLinkedQueue<String> log = new ConcurrentLinkedQueue<>();
-    private final Map<String, String> answers = new ConcurrentHashMap<>();
+    private final Map<String, String> responsesById = new ConcurrentHashMap<>();
     private final AtomicInteger runs = new AtomicInteger();
-    private final AtomicInteger answersToLose = new AtomicInteger();
-    private final AtomicInteger refusals = new AtomicInteger();
+    private final AtomicInteger responsesToLose = new AtomicInteger();
+    private final AtomicInteger callsToReject = new AtomicInteger();
     private volatile long delayMillis;
 
     public ApplicationRunnerStandin(String host, int port, boolean deduplicates) {
@@ -42,33 +42,33 @@
 
     @Override
     protected void addRoutes(JavalinConfig config) {
-        config.routes.post("/v1/actions/{method}", this::act);
-        config.routes.get("/v1/state", context -> context.result(state()));
+        config.routes.post("/v1/actions/{method}", this::handleAction);
+        config.routes.get("/v1/state", context -> context.result(stateJson()));
         config.routes.get("/control/log", context -> context.result(String.join("\n", log)));
         config.routes.post("/control/faults", this::setFaults);
     }
 
-    private String state() {
+    private String stateJson() {
         return JSON.createObjectNode().put("incarnation", incarnation).toString();
     }
 
-    private void act(Context context) throws IOException {
-        if (refusals.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
+    private void handleAction(Context context) throws IOException {
+        if (callsToReject.getAndUpdate(remaining -> Math.max(0, remaining - 1)) > 0) {
             context.header(ModelRunnerStandin.NOT_RUN_HEADER, "true");
             context.status(CONFLICT).result("refused before it ran");
             return;
         }
         Pause.millis(delayMillis);
         String id = context.header(ACTION_ID_HEADER);
-        String answer = deduplicates && id != null ? runOnce(context, id) : run(context, id);
-        if (answersToLose.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
-            throw new IOException("the answer is lost");
+        String response = deduplicates && id != null ? runOnce(context, id) : run(context, id);
+        if (responsesToLose.getAndUpdate(remaining -> Math.max(0, remaining - 1)) > 0) {
+            throw new IOException("simulated loss of the response");
         }
-        context.result(answer);
+        context.result(response);
     }
 
     private String runOnce(Context context, String id) {
-        return answers.computeIfAbsent(id, ignored -> run(context, id));
+        return responsesById.computeIfAbsent(id, ignored -> run(context, id));
     }
 
     private String run(Context context, String id) {
@@ -86,14 +86,20 @@
         context.result("ok");
     }
 
-    /** Sets how many of the next answers are lost, how many calls refused, and the delay. */
-    public void setFaults(int loseAnswers, int refuseCalls, long nowDelayMillis) {
-        answersToLose.set(loseAnswers);
-        refusals.set(refuseCalls);
-        delayMillis = nowDelayMillis;
+    /**
+     * Sets the faults from now on.
+     *
+     * @param lostResponses the number of next calls whose responses are lost
+     * @param rejectedCalls the number of next calls that are rejected
+     * @param newDelayMillis how long each call waits first
+     */
+    public void setFaults(int lostResponses, int rejectedCalls, long newDelayMillis) {
+        responsesToLose.set(lostResponses);
+        callsToReject.set(rejectedCalls);
+        delayMillis = newDelayMillis;
     }
 
-    /** What this runner ran, in order: method, action id, body. */
+    /** Returns the executions of this runner in order, each as method, action id and body. */
     public List<String> log() {
         return List.copyOf(log);
     }
--- a/standin/src/main/java/org/bronzelug/standin/HttpStandin.java
+++ b/standin/src/main/java/org/bronzelug/standin/HttpStandin.java
@@ -5,9 +5,9 @@
 import io.javalin.config.JavalinConfig;
 
 /**
- * A stand-in that serves HTTP on one loopback address.
+ * A simulated outside system that serves HTTP on one loopback address.
  *
- * <p>Thread-safe: start and stop are called by one thread, routes by any.
+ * <p>Thread-safe: one thread calls start and stop, and any thread may call a route.
  */
 public abstract class HttpStandin {
     private final String host;
@@ -15,8 +15,8 @@
     private Javalin server;
 
     /**
-     * @param host IP number to listen on
-     * @param port 0 for any free one
+     * @param host the IP address to listen on
+     * @param port the port to listen on, or 0 for any free port
      */
     protected HttpStandin(String host, int port) {
         this.host = host;
@@ -25,7 +25,6 @@
 
     protected abstract void addRoutes(JavalinConfig config);
 
-    /** Starts to serve. */
     public synchronized void start() {
         server =
                 Javalin.create(
@@ -34,7 +33,7 @@
                             config.startup.startupWatcherEnabled = false;
                             config.concurrency.useVirtualThreads = true;
                             config.jetty.host = host;
-                            // Compression would hold streamed chunks back.
+                            // Compression would delay streamed chunks.
                             config.http.compressionStrategy = CompressionStrategy.NONE;
                             config.http.maxRequestSize = 16L * 1024 * 1024;
                             addRoutes(config);
@@ -42,7 +41,7 @@
         server.start(host, requestedPort);
     }
 
-    /** Stops, cutting what is in progress. */
+    /** Stops and aborts the requests in progress. */
     public synchronized void stop() {
         if (server != null) {
             server.stop();
@@ -54,7 +53,7 @@
         return server.port();
     }
 
-    /** The address to reach this stand-in at. */
+    /** Returns the base URL of this simulated system. */
     public String url() {
         return "http://" + host + ":" + port();
     }
--- a/standin/src/main/java/org/bronzelug/standin/ModelRunnerStandin.java
+++ b/standin/src/main/java/org/bronzelug/standin/ModelRunnerStandin.java
@@ -18,24 +18,24 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * A model runner: an engine with a prefix cache, prefill that costs time for each missing token,
- * streamed output, cancel, resume, load reports and orders.
+ * Simulates a model runner: an engine with a prefix cache, a prefill that takes time for each
+ * missing token, streamed output, cancellation, resumption, load reports and orders.
  *
  * <p>Faults (POST /control/crash, /control/freeze, /control/cut) act on streams in progress.
  * Thread-safe.
  */
 public final class ModelRunnerStandin extends HttpStandin {
-    /** Said of a request that certainly had no effect. */
+    /** Marks a response to a request that certainly had no effect. */
     public static final String NOT_RUN_HEADER = "x-not-run";
 
     private static final int PRECONDITION_FAILED = 412;
     private static final int CONFLICT = 409;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** Loads of all runners of this process: the weight store is one for all. */
-    private static final AtomicInteger LOADS = new AtomicInteger();
+    /** Loads in progress at all runners of this process, which share one store of weights. */
+    private static final AtomicInteger CURRENT_LOADS = new AtomicInteger();
 
-    private static final AtomicInteger MOST_LOADS = new AtomicInteger();
+    private static final AtomicInteger MAXIMUM_LOADS = new AtomicInteger();
 
     private final RunnerTimes times;
     private volatile boolean checksFencing;
@@ -73,23 +73,24 @@
 
     private void complete(Context context) throws IOException {
         JsonNode request = JSON.readTree(context.bodyAsBytes());
-        String started = incarnation;
+        String startIncarnation = incarnation;
         JsonNode expected = request.path("expected_incarnation");
-        if (!expected.isMissingNode() && !expected.asText().equals(started)) {
-            refuse(context, PRECONDITION_FAILED, "incarnation is " + started);
+        if (!expected.isMissingNode() && !expected.asText().equals(startIncarnation)) {
+            reject(context, PRECONDITION_FAILED, "incarnation is " + startIncarnation);
             return;
         }
         String requestId = request.path("request_id").asText();
         log.add("completion " + requestId + " " + request.path("cache_salt").asText());
         running.incrementAndGet();
         try {
-            stream(context, request, requestId, started);
+            stream(context, request, requestId, startIncarnation);
         } finally {
             running.decrementAndGet();
         }
     }
 
-    private void stream(Context context, JsonNode request, String requestId, String started)
+    private void stream(
+            Context context, JsonNode request, String requestId, String startIncarnation)
             throws IOException {
         List<String> segments = new ArrayList<>();
         request.path("segments").forEach(segment -> segments.add(segment.asText()));
@@ -98,9 +99,9 @@
         OutputStream out = context.res().getOutputStream();
         int maximum = request.path("max_tokens").asInt();
         for (int offset = request.path("start_offset").asInt(); offset < maximum; offset++) {
-            awaitUnfrozen();
-            if (!incarnation.equals(started) || cutAtOffset == offset) {
-                throw new IOException("the engine is gone");
+            awaitEndOfFreeze();
+            if (!incarnation.equals(startIncarnation) || cutAtOffset == offset) {
+                throw new IOException("simulated crash of the engine");
             }
             if (cancelled.remove(requestId)) {
                 writeLine(out, JSON.createObjectNode().put("cancelled", true));
@@ -117,8 +118,8 @@
         queuedPrefillTokens.addAndGet(tokens);
         prefill.lock();
         try {
-            awaitUnfrozen();
-            int cached = cache.useAndFill(salt, segments);
+            awaitEndOfFreeze();
+            int cached = cache.lookUpAndFill(salt, segments);
             Pause.nanos(times.prefillNanosPerToken() * (tokens - cached));
             return cached;
         } finally {
@@ -153,7 +154,7 @@
     }
 
     private void state(Context context) {
-        awaitUnfrozen();
+        awaitEndOfFreeze();
         context.result(stateNode().toString());
     }
 
@@ -167,7 +168,7 @@
         return state;
     }
 
-    /** Whether orders with a fencing number below the highest one seen are refused. */
+    /** Sets whether an order with a fencing number below the highest received one is rejected. */
     public void setChecksFencing(boolean checks) {
         checksFencing = checks;
     }
@@ -177,29 +178,29 @@
         long fencing = order.path("fencing").asLong();
         synchronized (this) {
             if (checksFencing && fencing < highestFencing) {
-                refuse(context, CONFLICT, "fencing number " + highestFencing + " was seen");
+                reject(context, CONFLICT, "fencing number " + highestFencing + " was seen");
                 return;
             }
             highestFencing = Math.max(highestFencing, fencing);
         }
         log.add("order " + fencing + " " + order.path("weights_version").asLong());
         loading = true;
-        int now = LOADS.incrementAndGet();
-        MOST_LOADS.accumulateAndGet(now, Math::max);
-        Pause.millis(times.weightsLoadMillis() * Math.max(1, now - 1));
-        LOADS.decrementAndGet();
+        int currentLoads = CURRENT_LOADS.incrementAndGet();
+        MAXIMUM_LOADS.accumulateAndGet(currentLoads, Math::max);
+        Pause.millis(times.weightsLoadMillis() * Math.max(1, currentLoads - 1));
+        CURRENT_LOADS.decrementAndGet();
         loading = false;
         weightsVersion = order.path("weights_version").asLong();
         cache.clear();
         context.result("ok");
     }
 
-    private static void refuse(Context context, int status, String message) {
+    private static void reject(Context context, int status, String message) {
         context.header(NOT_RUN_HEADER, "true");
         context.status(status).result(message);
     }
 
-    /** The engine dies: its streams break off, its cache is lost, it comes back at once. */
+    /** Simulates a crash and an immediate restart: aborts the streams and clears the cache. */
     public void crash() {
         cache.clear();
         incarnation = newIncarnation();
@@ -209,7 +210,7 @@
         freeze(JSON.readTree(context.bodyAsBytes()).path("millis").asLong());
     }
 
-    /** The engine stands still for so long, with its connections open. */
+    /** Suspends the engine for a number of milliseconds, but keeps its connections open. */
     public void freeze(long millis) {
         frozenUntilNanos = System.nanoTime() + millis * 1_000_000;
     }
@@ -218,7 +219,7 @@
         cutAt(JSON.readTree(context.bodyAsBytes()).path("offset").asInt(-1));
     }
 
-    /** Breaks off every stream at this chunk; -1: none. */
+    /** Aborts every stream at the chunk with this offset; -1 aborts none. */
     public void cutAt(int offset) {
         cutAtOffset = offset;
     }
@@ -227,20 +228,20 @@
         return incarnation;
     }
 
-    /** The most loads of weights at once, over all runners of this process. */
+    /** Returns the maximum number of concurrent weight loads, over all runners of this process. */
     public static int mostLoadsAtOnce() {
-        return MOST_LOADS.get();
+        return MAXIMUM_LOADS.get();
     }
 
-    /** What this runner ran, in order. */
+    /** Returns the requests and orders that this runner executed, in order. */
     public List<String> log() {
         return List.copyOf(log);
     }
 
-    private void awaitUnfrozen() {
-        long left = frozenUntilNanos - System.nanoTime();
-        if (left > 0) {
-            Pause.nanos(left);
+    private void awaitEndOfFreeze() {
+        long remainingNanos = frozenUntilNanos - System.nanoTime();
+        if (remainingNanos > 0) {
+            Pause.nanos(remainingNanos);
         }
     }
 
--- a/standin/src/main/java/org/bronzelug/standin/Pause.java
+++ b/standin/src/main/java/org/bronzelug/standin/Pause.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Waiting, as a slow system does. Stateless and thread-safe. */
+/** Sleeps to simulate a slow system. Stateless and thread-safe. */
 final class Pause {
     private Pause() {}
 
--- a/standin/src/main/java/org/bronzelug/standin/PlatformStandin.java
+++ b/standin/src/main/java/org/bronzelug/standin/PlatformStandin.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The platform's object API: versioned objects, conditional updates, watches.
+ * Simulates the platform's object API: versioned objects, conditional updates and watches.
  *
- * <p>Can be told to be down, to be slow, and to lose the answers of writes that took effect (POST
- * /control/faults). Every committed value gets a version higher than all before. Thread-safe.
+ * <p>Faults (POST /control/faults): all calls fail, calls are delayed, responses to committed
+ * writes are lost. Every committed value gets a version higher than all earlier ones. Thread-safe.
  */
 public final class PlatformStandin extends HttpStandin {
-    /** As the brief says: values up to a megabyte. */
+    /** The platform's limit for the size of a value: one megabyte. */
     private static final int MAXIMUM_VALUE_BYTES = 1 << 20;
 
     private static final int CONFLICT = 409;
@@ -30,7 +30,7 @@
     private long revision;
     private volatile boolean down;
     private volatile long delayMillis;
-    private volatile int answersToLose;
+    private volatile int responsesToLose;
 
     public PlatformStandin(String host, int port) {
         super(host, port);
@@ -38,20 +38,20 @@
 
     @Override
     protected void addRoutes(JavalinConfig config) {
-        config.routes.get("/v1/objects", context -> guarded(context, () -> list(context)));
-        config.routes.put("/v1/objects/<key>", context -> guarded(context, () -> put(context)));
-        config.routes.get("/v1/objects/<key>", context -> guarded(context, () -> get(context)));
-        config.routes.get("/v1/watch", context -> guarded(context, () -> watch(context)));
+        config.routes.get("/v1/objects", context -> withFaults(context, () -> list(context)));
+        config.routes.put("/v1/objects/<key>", context -> withFaults(context, () -> put(context)));
+        config.routes.get("/v1/objects/<key>", context -> withFaults(context, () -> get(context)));
+        config.routes.get("/v1/watch", context -> withFaults(context, () -> watch(context)));
         config.routes.post("/control/faults", this::setFaults);
         config.routes.get("/control/calls", context -> context.result(Long.toString(calls.get())));
     }
 
-    /** One API call after the faults. */
+    /** The action of one API call, after the simulated faults. */
     private interface ApiCall {
         void run() throws IOException;
     }
 
-    private void guarded(Context context, ApiCall call) throws IOException {
+    private void withFaults(Context context, ApiCall call) throws IOException {
         calls.incrementAndGet();
         Pause.millis(delayMillis);
         if (down) {
@@ -89,19 +89,22 @@
             context.status(CONFLICT).result(Long.toString(-committed - 1));
             return;
         }
-        if (loseThisAnswer()) {
+        if (consumeResponseLoss()) {
             context.status(UNAVAILABLE).result("the answer was lost");
             return;
         }
         context.result(Long.toString(committed));
     }
 
-    /** The version committed; or -1 - (the present version) where another was expected. */
+    /**
+     * Returns the committed version, or -1 - (the current version) if the current version is not
+     * the expected one.
+     */
     private synchronized long commit(String key, long expected, byte[] value) {
         Stored stored = objects.get(key);
-        long present = stored == null ? 0 : stored.version;
-        if (present != expected) {
-            return -1 - present;
+        long currentVersion = stored == null ? 0 : stored.version;
+        if (currentVersion != expected) {
+            return -1 - currentVersion;
         }
         revision++;
         objects.put(key, new Stored(revision, value));
@@ -109,11 +112,11 @@
         return revision;
     }
 
-    private synchronized boolean loseThisAnswer() {
-        if (answersToLose <= 0) {
+    private synchronized boolean consumeResponseLoss() {
+        if (responsesToLose <= 0) {
             return false;
         }
-        answersToLose--;
+        responsesToLose--;
         return true;
     }
 
@@ -128,11 +131,11 @@
         long end = System.nanoTime() + waitMillis * 1_000_000;
         try {
             while (revision <= after && !down) {
-                long left = (end - System.nanoTime()) / 1_000_000;
-                if (left <= 0) {
+                long remainingMillis = (end - System.nanoTime()) / 1_000_000;
+                if (remainingMillis <= 0) {
                     return;
                 }
-                wait(left);
+                wait(remainingMillis);
             }
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
@@ -140,16 +143,16 @@
     }
 
     private synchronized ObjectNode changesAfter(long after, String prefix) {
-        ObjectNode answer = JSON.createObjectNode();
-        answer.put("revision", revision);
-        ArrayNode list = answer.putArray("objects");
+        ObjectNode response = JSON.createObjectNode();
+        response.put("revision", revision);
+        ArrayNode list = response.putArray("objects");
         objects.forEach(
                 (key, stored) -> {
                     if (key.startsWith(prefix) && stored.version > after) {
                         list.add(toJson(key, stored));
                     }
                 });
-        return answer;
+        return response;
     }
 
     private static ObjectNode toJson(String key, Stored stored) {
@@ -177,14 +180,14 @@
     /**
      * Sets the faults from now on.
      *
-     * @param nowDown whether all calls fail
-     * @param nowDelayMillis how long each call waits first
-     * @param loseAnswers the number of writes whose answers are lost after they took effect
+     * @param newDown whether all calls fail
+     * @param newDelayMillis how long each call waits first
+     * @param lostResponses the number of next writes whose responses are lost after the commit
      */
-    public synchronized void setFaults(boolean nowDown, long nowDelayMillis, int loseAnswers) {
-        down = nowDown;
-        delayMillis = nowDelayMillis;
-        answersToLose = loseAnswers;
+    public synchronized void setFaults(boolean newDown, long newDelayMillis, int lostResponses) {
+        down = newDown;
+        delayMillis = newDelayMillis;
+        responsesToLose = lostResponses;
         notifyAll();
     }
 
--- a/standin/src/main/java/org/bronzelug/standin/PrefixCache.java
+++ b/standin/src/main/java/org/bronzelug/standin/PrefixCache.java
@@ -5,7 +5,8 @@
 import java.util.Map;
 
 /**
- * An engine's cache of prompt prefixes: bounded by tokens, the least recently used goes first.
+ * An engine's cache of prompt prefixes: bounded by its tokens, evicts the least recently used
+ * first.
  *
  * <p>Thread-safe.
  */
@@ -19,11 +20,11 @@
     }
 
     /**
-     * Looks a prompt up, and keeps its levels.
+     * Looks up a prompt, and caches its missing prefixes.
      *
-     * @return the tokens that were cached
+     * @return the number of tokens in the longest prefix that was cached
      */
-    synchronized int useAndFill(String salt, List<String> segments) {
+    synchronized int lookUpAndFill(String salt, List<String> segments) {
         int cached = 0;
         int before = 0;
         boolean hit = true;
--- a/standin/src/main/java/org/bronzelug/standin/StandinMain.java
+++ b/standin/src/main/java/org/bronzelug/standin/StandinMain.java
@@ -7,13 +7,13 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 import net.sourceforge.argparse4j.inf.Subparsers;
 
-/** The stand-ins as a program. Thread-safe: stateless. */
+/** Command line of the simulated outside systems. Stateless and thread-safe. */
 public final class StandinMain {
     private static final int USAGE_ERROR = 64;
 
     private StandinMain() {}
 
-    /** Starts one stand-in and serves until the process is stopped. */
+    /** Starts one simulated system, which serves until the process is stopped. */
     public static void main(String[] arguments) {
         ArgumentParser parser = parser();
         try {
@@ -21,8 +21,8 @@
             HttpStandin standin = create(options);
             standin.start();
             System.out.println(options.getString("program") + " ready at " + standin.url());
-        } catch (ArgumentParserException wrong) {
-            parser.handleError(wrong);
+        } catch (ArgumentParserException invalid) {
+            parser.handleError(invalid);
             System.exit(USAGE_ERROR);
         }
     }
@@ -31,20 +31,23 @@
         ArgumentParser parser =
                 ArgumentParsers.newFor("bronzelug-standin")
                         .build()
-                        .description("Stand-ins for outside systems, for tests and demonstrations");
+                        .description("Simulated outside systems for tests and demonstrations");
         Subparsers programs = parser.addSubparsers().dest("program");
         addProgram(programs, "platform", "the platform's object API");
         Subparser model = addProgram(programs, "model-runner", "a model engine");
-        model.addArgument("--checks-fencing").action(storeTrue()).help("refuse old fencing");
+        model.addArgument("--checks-fencing")
+                .action(storeTrue())
+                .help("reject orders with an old fencing number");
         model.addArgument("--cache-tokens")
                 .type(Integer.class)
                 .setDefault(RunnerTimes.defaults().cacheTokens())
-                .help("tokens that the prefix cache holds");
-        Subparser application = addProgram(programs, "application-runner", "a plain service");
+                .help("capacity of the prefix cache, in tokens");
+        Subparser application =
+                addProgram(programs, "application-runner", "a plain service that runs actions");
         application
                 .addArgument("--deduplicates")
                 .action(storeTrue())
-                .help("run each action id once");
+                .help("execute each action id only once");
         return parser;
     }
 
@@ -54,8 +57,11 @@
 
     private static Subparser addProgram(Subparsers programs, String name, String help) {
         Subparser program = programs.addParser(name).help(help);
-        program.addArgument("--host").setDefault("127.0.0.1").help("IP number to listen on");
-        program.addArgument("--port").type(Integer.class).setDefault(0).help("0: any free port");
+        program.addArgument("--host").setDefault("127.0.0.1").help("IP address to listen on");
+        program.addArgument("--port")
+                .type(Integer.class)
+                .setDefault(0)
+                .help("port to listen on; 0 for any free port");
         return program;
     }
 
@@ -65,12 +71,12 @@
         return switch (options.getString("program")) {
             case "platform" -> new PlatformStandin(host, port);
             case "model-runner" -> {
-                RunnerTimes usual = RunnerTimes.defaults();
+                RunnerTimes defaults = RunnerTimes.defaults();
                 RunnerTimes times =
                         new RunnerTimes(
-                                usual.prefillNanosPerToken(),
-                                usual.decodeNanosPerToken(),
-                                usual.weightsLoadMillis(),
+                                defaults.prefillNanosPerToken(),
+                                defaults.decodeNanosPerToken(),
+                                defaults.weightsLoadMillis(),
                                 options.getInt("cache_tokens"));
                 boolean fencing = options.getBoolean("checks_fencing");
                 yield new ModelRunnerStandin(host, port, times, fencing);
--- a/standin/src/main/java/org/bronzelug/standin/StandinTokens.java
+++ b/standin/src/main/java/org/bronzelug/standin/StandinTokens.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.UUID;
 
-/** The stand-in engines' tokens: four bytes each; output is a fixed function of the prompt. */
+/**
+ * The tokens of simulated engines: 4 bytes each. The output is a fixed function of the prompt.
+ * Stateless and thread-safe.
+ */
 final class StandinTokens {
     private static final int BYTES_PER_TOKEN = 4;
 
@@ -23,7 +26,7 @@
         return UUID.nameUUIDFromBytes(text.getBytes(StandardCharsets.UTF_8)).toString();
     }
 
-    /** The output token at an offset: the same on every runner, as with a fixed seed. */
+    /** Returns the output token at an offset, the same on every runner, as with a fixed seed. */
     static String output(String promptDigest, int offset) {
         return "t" + Integer.toHexString((promptDigest + offset).hashCode() & 0xfff) + " ";
     }
--- a/standin/src/main/java/org/bronzelug/standin/package-info.java
+++ b/standin/src/main/java/org/bronzelug/standin/package-info.java
@@ -1,2 +1,2 @@
-/** Small programs that take the place of outside systems in tests and demonstrations only. */
+/** Simulated outside systems, for tests and demonstrations only. */
 package org.bronzelug.standin;
