--- a/daemon/src/main/java/org/bronzelug/daemon/peer/PeerConnection.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/peer/PeerConnection.java
@@ -21,18 +21,20 @@
 import org.bronzelug.api.peer.Proof;
 
 /**
- * One connection to a peer, for many exchanges at once.
+ * The connecting end of one connection to a peer daemon, which multiplexes many request/response
+ * exchanges.
  *
- * <p>Invariant: an answer completes the exchange whose number it carries, or none. The failure this
- * guards against: an answer comes after its exchange timed out, and is taken for the next one's.
- * Numbers are never used twice on a connection, so a late answer finds no exchange and is dropped.
- * The number of open exchanges is bounded.
+ * <p>Invariant: a response completes the exchange whose number it carries, or none. Exchange
+ * numbers are never reused on a connection, so a response that arrives after its exchange timed out
+ * finds no open exchange and is dropped. Without this, it would complete the next exchange. The
+ * number of open exchanges is bounded.
  *
- * <p>Invariant: no exchange outlasts its peer. The failure: the peer freezes, or a network drops
- * all without a word, and the caller waits for its whole deadline though the peer is long gone.
- * While answers are awaited and nothing comes, keepalives are sent; {@link #SILENT_CHECKS} looks in
- * vain end the connection. A peer answers them on its event loop, however long its handlers take;
- * and a pause of this process counts as one look at most, so it condemns no peer.
+ * <p>Invariant: no exchange outlasts its peer. While exchanges are open and nothing is received,
+ * this end sends keepalives; {@link #SILENT_CHECKS} consecutive checks without a received message
+ * close the connection. Without this, a request to a frozen peer, or over a network that silently
+ * drops packets, would wait for its whole deadline. A peer answers keepalives on its event loop,
+ * however long its handlers take. A pause of this process counts as one check at most, so it does
+ * not close the connection to a healthy peer.
  *
  * <p>Thread-safe: state is changed under this object's lock.
  */
@@ -40,20 +42,23 @@
     private static final int MAXIMUM_OPEN_EXCHANGES = 4_096;
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
-    /** How often a connection that nothing came on is looked at. */
+    /** The interval at which a connection that receives nothing is checked. */
     static final int SILENT_CHECK_MILLIS = 500;
 
-    /** So many looks in a row with nothing heard end a connection that owes answers. */
+    /**
+     * The number of consecutive checks without a received message that closes a connection with
+     * open exchanges.
+     */
     static final int SILENT_CHECKS = 3;
 
     private final PeerSecret secret;
     private final ByteString nonce;
-    private final Map<Long, CompletableFuture<Envelope>> open = new HashMap<>();
-    private final Queue<Envelope> untilProved = new ArrayDeque<>();
+    private final Map<Long, CompletableFuture<Envelope>> openExchanges = new HashMap<>();
+    private final Queue<Envelope> unsentRequests = new ArrayDeque<>();
     private ByteString acceptorNonce = ByteString.EMPTY;
-    private boolean proved;
-    private long lastExchange;
-    private int silentLooks;
+    private boolean peerProved;
+    private long lastExchangeNumber;
+    private int silentChecks;
     private long keepalivesSent;
     private ChannelHandlerContext context;
     private volatile boolean closed;
@@ -63,7 +68,10 @@
         this.nonce = secret.newNonce();
     }
 
-    /** Starts to connect; requests made meanwhile wait. */
+    /**
+     * Starts to connect and returns at once. Requests are queued until the peer has proved that it
+     * knows the secret.
+     */
     static PeerConnection open(
             EventLoopGroup group,
             InetSocketAddress address,
@@ -86,53 +94,60 @@
         return connection;
     }
 
-    /** Whether requests are of no use any more. */
+    /** Returns whether the connection has ended, so that every further request fails. */
     boolean isClosed() {
         return closed;
     }
 
-    /** Ends the connection and fails its exchanges. */
+    /** Closes the connection and fails its open exchanges. */
     void close() {
-        end("this VM stops");
+        failAndClose("this VM is stopping");
     }
 
     synchronized long keepalivesSent() {
         return keepalivesSent;
     }
 
-    /** Sends a request and awaits its answer, at most so long. */
+    /**
+     * Sends a request.
+     *
+     * @param timeoutMillis after which the returned future fails with a timeout
+     * @return the response, once it arrives
+     */
     CompletableFuture<Envelope> exchange(Envelope.Builder request, long timeoutMillis) {
-        CompletableFuture<Envelope> answer = new CompletableFuture<>();
-        enqueue(request, answer);
-        return answer.orTimeout(timeoutMillis, TimeUnit.MILLISECONDS);
+        CompletableFuture<Envelope> response = new CompletableFuture<>();
+        enqueue(request, response);
+        return response.orTimeout(timeoutMillis, TimeUnit.MILLISECONDS);
     }
 
     private synchronized void enqueue(
-            Envelope.Builder request, CompletableFuture<Envelope> answer) {
-        if (closed || open.size() >= MAXIMUM_OPEN_EXCHANGES) {
-            answer.completeExceptionally(new PeerException("the connection is closed", false));
+            Envelope.Builder request, CompletableFuture<Envelope> response) {
+        if (closed || openExchanges.size() >= MAXIMUM_OPEN_EXCHANGES) {
+            response.completeExceptionally(
+                    new PeerException(
+                            "the connection is closed or has too many open exchanges", false));
             return;
         }
-        long exchange = ++lastExchange;
-        open.put(exchange, answer);
-        answer.whenComplete((envelope, failure) -> forget(exchange));
+        long exchange = ++lastExchangeNumber;
+        openExchanges.put(exchange, response);
+        response.whenComplete((envelope, failure) -> removeExchange(exchange));
         Envelope envelope = request.setExchange(exchange).build();
-        if (proved) {
+        if (peerProved) {
             context.writeAndFlush(envelope);
         } else {
-            untilProved.add(envelope);
+            unsentRequests.add(envelope);
         }
     }
 
-    private synchronized void forget(long exchange) {
-        open.remove(exchange);
+    private synchronized void removeExchange(long exchange) {
+        openExchanges.remove(exchange);
     }
 
     @Override
     public void handlerAdded(ChannelHandlerContext channel) {
-        IdleStateHandler looks =
+        IdleStateHandler idleHandler =
                 new IdleStateHandler(SILENT_CHECK_MILLIS, 0, 0, TimeUnit.MILLISECONDS);
-        channel.pipeline().addFirst(looks);
+        channel.pipeline().addFirst(idleHandler);
         synchronized (this) {
             context = channel;
         }
@@ -148,43 +163,43 @@
     @Override
     public void userEventTriggered(ChannelHandlerContext channel, Object event) {
         if (event instanceof IdleStateEvent && isSilentTooLong(channel)) {
-            end("the peer fell silent");
+            failAndClose("nothing was received from the peer for too long");
         }
     }
 
     private synchronized boolean isSilentTooLong(ChannelHandlerContext channel) {
-        if (open.isEmpty()) {
-            silentLooks = 0;
+        if (openExchanges.isEmpty()) {
+            silentChecks = 0;
             return false;
         }
-        silentLooks++;
-        if (proved) {
+        silentChecks++;
+        if (peerProved) {
             keepalivesSent++;
             channel.writeAndFlush(
                     Envelope.newBuilder().setKeepalive(Keepalive.getDefaultInstance()).build());
         }
-        return silentLooks >= SILENT_CHECKS;
+        return silentChecks >= SILENT_CHECKS;
     }
 
-    private synchronized void noteHeard() {
-        silentLooks = 0;
+    private synchronized void resetSilentChecks() {
+        silentChecks = 0;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext channel, Envelope envelope)
             throws PeerException {
-        noteHeard();
+        resetSilentChecks();
         switch (envelope.getBodyCase()) {
-            case CHALLENGE -> prove(channel, envelope);
+            case CHALLENGE -> sendProof(channel, envelope);
             case PROOF -> checkProof(channel, envelope.getProof());
             case KEEPALIVE -> {
-                // It said all by coming.
+                // Its arrival has reset the silence checks; it carries nothing else.
             }
             default -> complete(envelope);
         }
     }
 
-    private synchronized void prove(ChannelHandlerContext channel, Envelope envelope) {
+    private synchronized void sendProof(ChannelHandlerContext channel, Envelope envelope) {
         acceptorNonce = envelope.getChallenge().getNonce();
         ByteString code = secret.proof(PeerSecret.Role.CONNECTING, acceptorNonce, nonce);
         Proof proof = Proof.newBuilder().setNonce(nonce).setCode(code).build();
@@ -195,24 +210,25 @@
             throws PeerException {
         ByteString expected = secret.proof(PeerSecret.Role.ACCEPTING, acceptorNonce, nonce);
         if (!PeerSecret.matches(expected, proof.getCode())) {
-            throw new PeerException("the peer does not know the peer secret", false);
+            throw new PeerException("the peer did not prove that it knows the peer secret", false);
         }
-        proved = true;
-        untilProved.forEach(channel::write);
-        untilProved.clear();
+        peerProved = true;
+        unsentRequests.forEach(channel::write);
+        unsentRequests.clear();
         channel.flush();
     }
 
     private void complete(Envelope envelope) throws PeerException {
-        CompletableFuture<Envelope> answer;
+        CompletableFuture<Envelope> response;
         synchronized (this) {
-            if (!proved) {
-                throw new PeerException("the peer sent a message before its proof", false);
+            if (!peerProved) {
+                throw new PeerException(
+                        "the peer sent a message before it proved the peer secret", false);
             }
-            answer = open.get(envelope.getExchange());
+            response = openExchanges.get(envelope.getExchange());
         }
-        if (answer != null) {
-            answer.complete(envelope);
+        if (response != null) {
+            response.complete(envelope);
         }
     }
 
@@ -223,10 +239,10 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext channel, Throwable cause) {
-        end(String.valueOf(cause.getMessage()));
+        failAndClose(String.valueOf(cause.getMessage()));
     }
 
-    private void end(String reason) {
+    private void failAndClose(String reason) {
         failAll(reason);
         ChannelHandlerContext channel;
         synchronized (this) {
@@ -239,15 +255,17 @@
 
     private void failAll(String reason) {
         Map<Long, CompletableFuture<Envelope>> failed;
-        boolean maySent;
+        boolean mayHaveArrived;
         synchronized (this) {
             closed = true;
-            maySent = proved;
-            failed = new HashMap<>(open);
-            open.clear();
+            mayHaveArrived = peerProved;
+            failed = new HashMap<>(openExchanges);
+            openExchanges.clear();
         }
         failed.values()
                 .forEach(
-                        answer -> answer.completeExceptionally(new PeerException(reason, maySent)));
+                        response ->
+                                response.completeExceptionally(
+                                        new PeerException(reason, mayHaveArrived)));
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/peer/PeerException.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/peer/PeerException.java
@@ -1,21 +1,21 @@
 package org.bronzelug.daemon.peer;
 
-/** An exchange with a peer failed. */
+/** Thrown when a request/response exchange with a peer daemon fails. */
 public final class PeerException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    private final boolean sent;
+    private final boolean mayHaveArrived;
 
     /**
-     * @param sent whether the request may have reached the peer
+     * @param mayHaveArrived whether the request may have reached the peer
      */
-    public PeerException(String message, boolean sent) {
+    public PeerException(String message, boolean mayHaveArrived) {
         super(message);
-        this.sent = sent;
+        this.mayHaveArrived = mayHaveArrived;
     }
 
-    /** Whether the request may have reached the peer. */
+    /** Returns whether the request may have reached the peer. */
     public boolean mayHaveArrived() {
-        return sent;
+        return mayHaveArrived;
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/peer/PeerHandler.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/peer/PeerHandler.java
@@ -3,9 +3,12 @@
 import java.util.concurrent.CompletableFuture;
 import org.bronzelug.api.peer.Envelope;
 
-/** Answers the requests of other daemons; called on a network thread, so it must not block. */
+/**
+ * Handles the requests of other daemons. Called on a network event loop, so implementations must
+ * not block.
+ */
 @FunctionalInterface
 public interface PeerHandler {
-    /** The answer, later; a failed future closes the connection. */
+    /** Returns the future response; if the future fails, the connection is closed. */
     CompletableFuture<Envelope.Builder> handle(Envelope request);
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/peer/PeerNetwork.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/peer/PeerNetwork.java
@@ -20,13 +20,14 @@
 import org.bronzelug.kernel.ServiceException;
 
 /**
- * The exchanges with other daemons, in both directions.
+ * Exchanges requests and responses with the other daemons, in both directions.
  *
- * <p>Thread-safe. A lost connection fails its exchanges at once; the next one connects anew.
+ * <p>Thread-safe. When a connection is lost, its open exchanges fail at once; the next exchange
+ * with that peer opens a new connection.
  */
 @Singleton
 public final class PeerNetwork implements Service {
-    /** Under which the kernel knows this service. */
+    /** The name of this service in the kernel. */
     public static final String NAME = "peers";
 
     private static final int EVENT_LOOPS = 2;
@@ -50,7 +51,7 @@
         return NAME;
     }
 
-    /** Sets who answers requests of one kind; before the start. */
+    /** Sets the handler for requests of one kind. Must be called before {@link #start}. */
     public void handle(Envelope.BodyCase kind, PeerHandler handler) {
         handlers.put(kind, handler);
     }
@@ -70,7 +71,7 @@
         }
     }
 
-    /** The address that other daemons reach this one at. */
+    /** Returns the address at which other daemons reach this one. */
     public String address() {
         if (settings.advertise().peers().isPresent()) {
             return settings.advertise().peers().get();
@@ -78,34 +79,42 @@
         return listenAddress();
     }
 
-    /** The address that this daemon listens at for others. */
+    /** Returns the address on which this daemon listens for other daemons. */
     public String listenAddress() {
         return Addresses.withPort(settings.listen().peers(), server.port());
     }
 
-    /** Sends a request to the daemon at an address and awaits the answer, at most so long. */
+    /**
+     * Sends a request to the daemon at an address.
+     *
+     * @param timeoutMillis after which the returned future fails with a timeout
+     * @return the response, once it arrives
+     */
     public CompletableFuture<Envelope> exchange(
             String address, Envelope.Builder request, long timeoutMillis) {
         if (stopped) {
-            return stopping();
+            return stoppingFailure();
         }
         try {
-            return connected(address).exchange(request, timeoutMillis);
-        } catch (RejectedExecutionException ended) {
-            return stopping();
+            return connectionTo(address).exchange(request, timeoutMillis);
+        } catch (RejectedExecutionException shutDown) {
+            return stoppingFailure();
         }
     }
 
-    private PeerConnection connected(String address) {
+    private PeerConnection connectionTo(String address) {
         return connections.compute(
                 address,
-                (ignored, present) ->
-                        present == null || present.isClosed() ? connect(address) : present);
+                (ignored, existing) ->
+                        existing == null || existing.isClosed() ? connect(address) : existing);
     }
 
-    /** The event loops may end between the look at {@code stopped} and their use. */
-    private static CompletableFuture<Envelope> stopping() {
-        return CompletableFuture.failedFuture(new PeerException("this VM stops", false));
+    /**
+     * Returns the failure of an exchange that is requested during or after the stop. It is also
+     * needed where the event loops end after {@code stopped} was checked and before they are used.
+     */
+    private static CompletableFuture<Envelope> stoppingFailure() {
+        return CompletableFuture.failedFuture(new PeerException("this VM is stopping", false));
     }
 
     private PeerConnection connect(String address) {
@@ -118,7 +127,8 @@
         PeerHandler handler = handlers.get(request.getBodyCase());
         if (handler == null) {
             return CompletableFuture.failedFuture(
-                    new PeerException("unknown message " + request.getBodyCase(), false));
+                    new PeerException(
+                            "no handler for the message type " + request.getBodyCase(), false));
         }
         return handler.handle(request);
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/peer/PeerPipeline.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/peer/PeerPipeline.java
@@ -11,20 +11,21 @@
 import org.bronzelug.api.peer.Envelope;
 
 /**
- * The frames of a peer connection: four bytes of length, then one envelope.
+ * Sets up the channel pipeline of a peer connection. A frame is a length of four bytes, then one
+ * {@link Envelope}.
  *
- * <p>An oversized or malformed frame fails in the decoder and closes this connection only.
+ * <p>An oversized or malformed frame fails in the decoder and closes only its own connection.
  * Immutable and thread-safe.
  */
 final class PeerPipeline extends ChannelInitializer<SocketChannel> {
     private static final int LENGTH_BYTES = 4;
 
     private final int maximumFrameBytes;
-    private final Supplier<ChannelHandler> handlers;
+    private final Supplier<ChannelHandler> handlerSupplier;
 
-    PeerPipeline(int maximumFrameBytes, Supplier<ChannelHandler> handlers) {
+    PeerPipeline(int maximumFrameBytes, Supplier<ChannelHandler> handlerSupplier) {
         this.maximumFrameBytes = maximumFrameBytes;
-        this.handlers = handlers;
+        this.handlerSupplier = handlerSupplier;
     }
 
     @Override
@@ -36,6 +37,6 @@
                 .addLast(new ProtobufDecoder(Envelope.getDefaultInstance()))
                 .addLast(new LengthFieldPrepender(LENGTH_BYTES))
                 .addLast(new ProtobufEncoder())
-                .addLast(handlers.get());
+                .addLast(handlerSupplier.get());
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/peer/PeerSecret.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/peer/PeerSecret.java
@@ -12,15 +12,16 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The secret that daemons prove to each other, in both directions, without sending it.
+ * The shared secret of all daemons. Both ends of a connection prove that they know it, without
+ * sending it.
  *
- * <p>Each side answers a nonce of the other with an HMAC-SHA-256 over both nonces and its role, so
- * a proof can be neither replayed nor reflected. Immutable and thread-safe.
+ * <p>The proof is an HMAC-SHA-256 over the sender's role and the nonces of both ends, so it can be
+ * neither replayed on another connection nor reflected to its sender. Immutable and thread-safe.
  */
 public final class PeerSecret {
     private static final String ALGORITHM = "HmacSHA256";
     private static final int NONCE_BYTES = 16;
-    private static final int LEAST_SECRET_CHARACTERS = 16;
+    private static final int MINIMUM_SECRET_CHARACTERS = 16;
 
     private final SecretKeySpec key;
     private final SecureRandom random = new SecureRandom();
@@ -29,22 +30,22 @@
         key = new SecretKeySpec(secret.getBytes(StandardCharsets.UTF_8), ALGORITHM);
     }
 
-    /** Reads the secret from a file. */
+    /** Reads the secret from a file, without the white space around it. */
     public static PeerSecret read(Path file) throws IOException {
         String secret = Files.readString(file).strip();
-        if (secret.length() < LEAST_SECRET_CHARACTERS) {
+        if (secret.length() < MINIMUM_SECRET_CHARACTERS) {
             throw new IOException(
                     file
                             + " holds "
                             + secret.length()
                             + " characters, expected "
-                            + LEAST_SECRET_CHARACTERS
+                            + MINIMUM_SECRET_CHARACTERS
                             + " or more");
         }
         return new PeerSecret(secret);
     }
 
-    /** The two ends of a connection. */
+    /** The two ends of a connection. The ordinal is part of the proof. */
     public enum Role {
         CONNECTING,
         ACCEPTING
@@ -56,7 +57,7 @@
         return ByteString.copyFrom(nonce);
     }
 
-    /** The proof of one end. */
+    /** Computes the proof that the end with the given role sends. */
     public ByteString proof(Role role, ByteString acceptorNonce, ByteString connectorNonce) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
@@ -71,7 +72,7 @@
     }
 
     /** Compares two proofs in constant time. */
-    public static boolean matches(ByteString expected, ByteString met) {
-        return MessageDigest.isEqual(expected.toByteArray(), met.toByteArray());
+    public static boolean matches(ByteString expected, ByteString actual) {
+        return MessageDigest.isEqual(expected.toByteArray(), actual.toByteArray());
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/peer/PeerServer.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/peer/PeerServer.java
@@ -19,9 +19,10 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * Accepts connections of other daemons and answers their requests.
+ * Accepts connections from other daemons and passes their requests to a handler.
  *
- * <p>Invariant: no request reaches the handler before the peer has proved the secret. Thread-safe.
+ * <p>Invariant: no request reaches the handler before the peer has proved that it knows the peer
+ * secret. Thread-safe.
  */
 public final class PeerServer {
     private final EventLoopGroup group;
@@ -40,7 +41,7 @@
         this.maximumFrameBytes = maximumFrameBytes;
     }
 
-    /** Starts to listen. */
+    /** Binds the address and starts to accept connections. */
     public synchronized void start(InetSocketAddress address) throws InterruptedException {
         channel =
                 new ServerBootstrap()
@@ -54,18 +55,18 @@
                         .channel();
     }
 
-    /** The port listened on. */
+    /** Returns the port on which the server listens. */
     public synchronized int port() {
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
     /**
-     * Stops to listen and ends all connections.
+     * Stops listening and closes all accepted connections.
      *
-     * <p>The failure: a connection accepted in the last moment is registered after the event loops
-     * have closed theirs, and stays open with nobody to read it; its peer waits for its whole
-     * deadline. A connection is noted before it looks at {@code stopped}, so either it is closed
-     * here or it closes itself.
+     * <p>A connection that is accepted during the stop is added to {@code accepted} before it
+     * checks {@code stopped}, so either this method closes it or it closes itself. Without this, a
+     * connection registered after the event loops closed theirs would stay open although nothing
+     * reads it, and its peer would wait for its whole deadline.
      */
     public synchronized void stop() {
         stopped = true;
@@ -75,10 +76,10 @@
         accepted.close().awaitUninterruptibly();
     }
 
-    /** One accepted connection; used by its event loop only. */
+    /** One accepted connection. Confined to its event loop. */
     private final class Connection extends SimpleChannelInboundHandler<Envelope> {
         private final ByteString nonce = secret.newNonce();
-        private boolean proved;
+        private boolean peerProved;
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
@@ -93,46 +94,46 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, Envelope envelope) {
-            if (proved && envelope.hasKeepalive()) {
+            if (peerProved && envelope.hasKeepalive()) {
                 context.writeAndFlush(envelope);
-            } else if (proved) {
-                answer(context, envelope);
+            } else if (peerProved) {
+                respond(context, envelope);
             } else {
-                prove(context, envelope.getProof());
+                verifyProof(context, envelope.getProof());
             }
         }
 
-        private void prove(ChannelHandlerContext context, Proof proof) {
+        private void verifyProof(ChannelHandlerContext context, Proof proof) {
             ByteString expected = secret.proof(PeerSecret.Role.CONNECTING, nonce, proof.getNonce());
             if (!PeerSecret.matches(expected, proof.getCode())) {
-                refuse(context, "wrong proof of the peer secret");
+                reject(context, "the peer did not prove that it knows the peer secret");
                 return;
             }
-            proved = true;
-            ByteString own = secret.proof(PeerSecret.Role.ACCEPTING, nonce, proof.getNonce());
+            peerProved = true;
+            ByteString ownProof = secret.proof(PeerSecret.Role.ACCEPTING, nonce, proof.getNonce());
             context.writeAndFlush(
-                    Envelope.newBuilder().setProof(Proof.newBuilder().setCode(own)).build());
+                    Envelope.newBuilder().setProof(Proof.newBuilder().setCode(ownProof)).build());
         }
 
-        private void answer(ChannelHandlerContext context, Envelope request) {
+        private void respond(ChannelHandlerContext context, Envelope request) {
             handler.handle(request)
                     .whenComplete(
-                            (answer, failure) -> {
+                            (response, failure) -> {
                                 if (failure != null) {
-                                    refuse(context, String.valueOf(failure.getMessage()));
+                                    reject(context, String.valueOf(failure.getMessage()));
                                     return;
                                 }
-                                answer.setExchange(request.getExchange());
-                                context.writeAndFlush(answer.build());
+                                response.setExchange(request.getExchange());
+                                context.writeAndFlush(response.build());
                             });
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            refuse(context, String.valueOf(cause.getMessage()));
+            reject(context, String.valueOf(cause.getMessage()));
         }
 
-        private void refuse(ChannelHandlerContext context, String reason) {
+        private void reject(ChannelHandlerContext context, String reason) {
             EventLog.warn(
                     LogEvent.PEER_REFUSED,
                     "peer " + context.channel().remoteAddress() + ", reason: " + reason);
--- a/daemon/src/main/java/org/bronzelug/daemon/peer/package-info.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between daemons over TCP: Netty and protobuf (docs/PROTOCOL.md "Peers"). */
+/** Messages between daemons: protobuf over TCP, with Netty (docs/PROTOCOL.md "Peers"). */
 package org.bronzelug.daemon.peer;
