--- a/daemon/src/main/java/org/bronzelug/daemon/platform/PlatformClient.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/platform/PlatformClient.java
@@ -18,24 +18,25 @@
 import org.bronzelug.core.configuration.VersionedObject;
 
 /**
- * The platform's object API over HTTP: one method a call, each with a deadline, each counted.
+ * HTTP client for the platform's object API. Each method makes one call, which has a deadline and
+ * is counted.
  *
- * <p>Retrying is the callers' part, since only they know whether a write may be repeated.
- * Thread-safe.
+ * <p>The client does not retry, since only the code that uses it knows whether a write may be sent
+ * again. Thread-safe.
  */
 public final class PlatformClient {
     private static final Duration CALL_TIMEOUT = Duration.ofMillis(1_000);
-    private static final MediaType BINARY = MediaType.get("application/octet-stream");
+    private static final MediaType BINARY_MEDIA_TYPE = MediaType.get("application/octet-stream");
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final HttpUrl base;
+    private final HttpUrl baseUrl;
     private final OkHttpClient http;
     private final AtomicLong calls = new AtomicLong();
 
     public PlatformClient(String url) {
-        base = HttpUrl.get(url);
+        baseUrl = HttpUrl.get(url);
         http =
                 new OkHttpClient.Builder()
                         .callTimeout(CALL_TIMEOUT)
@@ -43,7 +44,7 @@
                         .build();
     }
 
-    /** A consistent set of objects, and the revision up to which it is complete. */
+    /** A consistent set of objects, complete up to the revision. */
     public record Listing(long revision, List<VersionedObject> objects) {}
 
     /** Reads all objects. */
@@ -52,9 +53,10 @@
     }
 
     /**
-     * Waits for objects committed after a revision.
+     * Long-polls for objects committed after a revision.
      *
-     * @param waitMillis the longest wait; an empty listing then shows that nothing was committed
+     * @param waitMillis the maximum wait, after which an empty listing is returned if nothing was
+     *     committed
      */
     public Listing watch(long afterRevision, long waitMillis) throws PlatformException {
         HttpUrl.Builder url = url("watch");
@@ -63,7 +65,7 @@
         return listing(url.build());
     }
 
-    /** Reads one object; empty where there is none. */
+    /** Reads one object; empty if it does not exist. */
     public Optional<VersionedObject> get(String key) throws PlatformException {
         Request request = new Request.Builder().url(objectUrl(key).build()).build();
         try (Response response = execute(request)) {
@@ -78,15 +80,17 @@
     }
 
     /**
-     * Commits a value if the object still has the version expected; 0 expects no object.
+     * Writes a value if the object still has the expected version.
      *
-     * @throws PlatformException where the answer is missing: the value may be committed or not
+     * @param expectedVersion 0 if the object must not exist yet
+     * @throws PlatformException if no usable response arrived; the value may or may not be
+     *     committed
      */
     public WriteResult put(String key, long expectedVersion, byte[] value)
             throws PlatformException {
         HttpUrl.Builder url = objectUrl(key);
         url.addQueryParameter("expected_version", Long.toString(expectedVersion));
-        RequestBody body = RequestBody.create(value, BINARY);
+        RequestBody body = RequestBody.create(value, BINARY_MEDIA_TYPE);
         Request request = new Request.Builder().url(url.build()).put(body).build();
         try (Response response = execute(request)) {
             long version = 0;
@@ -103,12 +107,12 @@
         }
     }
 
-    /** Calls made so far, each watch counted as one. */
+    /** Returns the number of calls made so far. Each {@link #watch} is one call. */
     public long calls() {
         return calls.get();
     }
 
-    /** Frees the connections. */
+    /** Closes the idle connections and stops the dispatcher. */
     public void close() {
         http.dispatcher().executorService().shutdown();
         http.connectionPool().evictAll();
@@ -117,10 +121,10 @@
     private Listing listing(HttpUrl url) throws PlatformException {
         try (Response response = execute(new Request.Builder().url(url).build())) {
             requireSuccess(response);
-            JsonNode answer = JSON.readTree(response.body().bytes());
+            JsonNode responseBody = JSON.readTree(response.body().bytes());
             List<VersionedObject> objects = new ArrayList<>();
-            answer.path("objects").forEach(node -> objects.add(toObject(node)));
-            return new Listing(answer.path("revision").asLong(), objects);
+            responseBody.path("objects").forEach(node -> objects.add(toObject(node)));
+            return new Listing(responseBody.path("revision").asLong(), objects);
         } catch (IOException failed) {
             throw new PlatformException("reading the objects failed", failed);
         }
@@ -142,8 +146,8 @@
         return new VersionedObject(node.path("key").asText(), node.path("version").asLong(), value);
     }
 
-    private HttpUrl.Builder url(String part) {
-        return base.newBuilder().addPathSegments("v1/" + part);
+    private HttpUrl.Builder url(String path) {
+        return baseUrl.newBuilder().addPathSegments("v1/" + path);
     }
 
     private HttpUrl.Builder objectUrl(String key) {
--- a/daemon/src/main/java/org/bronzelug/daemon/platform/PlatformException.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/platform/PlatformException.java
@@ -1,6 +1,6 @@
 package org.bronzelug.daemon.platform;
 
-/** A call to the platform failed; its effect, if it was a write, is not known. */
+/** Thrown when a call to the platform fails. If it was a write, its effect is unknown. */
 public final class PlatformException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/daemon/src/main/java/org/bronzelug/daemon/platform/WriteResult.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/platform/WriteResult.java
@@ -1,10 +1,10 @@
 package org.bronzelug.daemon.platform;
 
-/** The platform's definite answer to a conditional update. Immutable. */
+/** The result of a conditional write that the platform answered. Immutable. */
 public sealed interface WriteResult {
-    /** The value is committed at this version. */
+    /** The value was committed and has this version. */
     record Committed(long version) implements WriteResult {}
 
-    /** The object had another version, so nothing was written. */
+    /** The object has another version than expected, so nothing was written. */
     record Conflict(long presentVersion) implements WriteResult {}
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/runner/CompletionListener.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/runner/CompletionListener.java
@@ -2,15 +2,20 @@
 
 import org.bronzelug.core.stream.StreamGapException;
 
-/** Takes the lines of a completion as they arrive. */
+/** Receives the chunks and the end of a completion as they arrive. */
 public interface CompletionListener {
     /**
-     * A chunk has arrived.
+     * Called for each chunk.
      *
-     * @return whether more are wanted
+     * @return whether to read on; false ends the completion without an error
      */
     boolean chunk(int offset, String text) throws StreamGapException;
 
-    /** The stream is complete. */
+    /**
+     * Called once, when the stream is complete.
+     *
+     * @param cachedTokens prompt tokens that the runner had in its cache
+     * @param report the runner's state at the end of the stream
+     */
     void end(int cachedTokens, EndpointReport report);
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/runner/CompletionRequest.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/runner/CompletionRequest.java
@@ -3,11 +3,13 @@
 import java.util.List;
 
 /**
- * One attempt of a generation. It carries no key and no team name, only the cache salt.
+ * The request for one attempt of a generation. It carries no key and no team name, only the cache
+ * salt.
  *
- * @param expectedIncarnation the runner refuses the request if it has another
- * @param startOffset the first chunk wanted
- * @param textSoFar what was generated before
+ * @param expectedIncarnation the incarnation that the runner must have; a runner with another one
+ *     rejects the request
+ * @param startOffset the offset of the first chunk to generate
+ * @param textSoFar the text of the chunks before {@code startOffset}
  */
 public record CompletionRequest(
         String requestId,
--- a/daemon/src/main/java/org/bronzelug/daemon/runner/Endpoint.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/runner/Endpoint.java
@@ -8,10 +8,10 @@
 import org.bronzelug.core.placement.RunnerLoad;
 
 /**
- * One endpoint as this VM sees it.
+ * One endpoint: its last reported state, and this VM's own load on it.
  *
- * <p>Thread-safe. Invariant: {@code inFlight} and the queued tokens of this VM's own requests are
- * raised and lowered once for each request.
+ * <p>Thread-safe. Invariant: each request of this VM raises and lowers {@code inFlight} and the
+ * queued tokens exactly once.
  */
 public final class Endpoint {
     private final String name;
@@ -42,51 +42,65 @@
         return url;
     }
 
-    /** Whether it answered lately. */
+    /**
+     * Returns whether the endpoint is up: its last poll succeeded, or a response has carried a
+     * report since.
+     */
     public boolean isLive() {
         return live;
     }
 
-    /** Whether it must get no new work. */
+    /**
+     * Returns whether the configuration marks the endpoint as leaving, so it gets no new request.
+     */
     public boolean isLeaving() {
         return leaving;
     }
 
-    void setLeaving(boolean nowLeaving) {
-        leaving = nowLeaving;
+    void setLeaving(boolean isNowLeaving) {
+        leaving = isNowLeaving;
     }
 
     public EndpointReport report() {
         return report;
     }
 
-    /** Takes in a report; whether the endpoint came back as another incarnation. */
-    synchronized boolean update(EndpointReport next) {
-        boolean replaced =
-                !report.incarnation().isEmpty() && !report.incarnation().equals(next.incarnation());
-        report = next;
-        estimate.report(next.queuedPrefillTokens(), next.running());
+    /**
+     * Records a report and marks the endpoint live.
+     *
+     * @return whether the endpoint has restarted, that is, reports another incarnation than before
+     */
+    synchronized boolean update(EndpointReport newReport) {
+        boolean restarted =
+                !report.incarnation().isEmpty()
+                        && !report.incarnation().equals(newReport.incarnation());
+        report = newReport;
+        estimate.report(newReport.queuedPrefillTokens(), newReport.running());
         live = true;
-        return replaced;
+        return restarted;
     }
 
-    /** Marks it dead and breaks off the calls to it, so that their requests move at once. */
+    /** Marks the endpoint down and cancels the calls to it, so that their requests move at once. */
     void markDown() {
         live = false;
         calls.forEach(Call::cancel);
     }
 
-    /** Counts a request in. */
+    /**
+     * Records that a request was sent.
+     *
+     * @param queuedTokens prompt tokens that the endpoint must prefill for it
+     */
     public synchronized void begin(int queuedTokens) {
         estimate.begin(queuedTokens);
     }
 
-    /** Notes that a request's prefill is done. */
+    /** Records that the prefill of a request is done; takes the same tokens as {@link #begin}. */
     public synchronized void prefilled(int queuedTokens) {
         estimate.prefilled(queuedTokens);
     }
 
-    /** Counts a request out. */
+    /** Records that a request has ended. */
     public synchronized void end() {
         estimate.end();
         served.incrementAndGet();
@@ -108,7 +122,7 @@
         calls.remove(call);
     }
 
-    /** The load for a placement. */
+    /** Returns the estimated load, for placement decisions. */
     public synchronized RunnerLoad load() {
         return estimate.load(name, report.incarnation());
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/runner/EndpointDirectory.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/runner/EndpointDirectory.java
@@ -23,14 +23,14 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * The endpoints of the configuration, and their state as polled.
+ * Keeps the endpoints of the configuration and polls their state.
  *
- * <p>Thread-safe. Invariant: an endpoint that the configuration calls leaving, or no longer names,
- * is given to no new request.
+ * <p>Thread-safe. Invariant: no new request gets an endpoint that the configuration marks as
+ * leaving or no longer contains.
  */
 @Singleton
 public final class EndpointDirectory implements Service {
-    /** Under which the kernel knows this service. */
+    /** The name of this service in the kernel. */
     public static final String NAME = "endpoints";
 
     private static final long POLL_MILLIS = 250;
@@ -38,10 +38,10 @@
     private final ControlThread control;
     private final ControlState state;
     private final RunnerClient client;
-    private final ExecutorService polls = Executors.newVirtualThreadPerTaskExecutor();
+    private final ExecutorService pollExecutor = Executors.newVirtualThreadPerTaskExecutor();
     private final Map<String, Endpoint> endpoints = new ConcurrentHashMap<>();
     private final Set<String> polling = ConcurrentHashMap.newKeySet();
-    private final List<Consumer<Endpoint>> replacedListeners = new ArrayList<>();
+    private final List<Consumer<Endpoint>> restartListeners = new ArrayList<>();
     private volatile Runnable changedListener = () -> {};
     private Optional<Catalog> applied = Optional.empty();
 
@@ -62,17 +62,23 @@
         control.every(POLL_MILLIS, this::pollAll);
     }
 
-    /** Called for an endpoint that came back empty or went down; before the start. */
+    /**
+     * Adds a listener for endpoints that have restarted, and so lost their cache. Must be called
+     * before {@link #start}.
+     */
     public void onReplaced(Consumer<Endpoint> listener) {
-        replacedListeners.add(listener);
+        restartListeners.add(listener);
     }
 
-    /** Called when an endpoint may have become usable; before the start. */
+    /**
+     * Sets the listener that is called when an endpoint may have become usable. Must be called
+     * before {@link #start}.
+     */
     public void onChanged(Runnable listener) {
         changedListener = listener;
     }
 
-    /** The endpoints of a pool that may get new work now. */
+    /** Returns the live endpoints of a pool that may get new requests. */
     public List<Endpoint> usable(String pool) {
         List<Endpoint> usable = new ArrayList<>();
         for (Endpoint endpoint : refresh()) {
@@ -83,16 +89,17 @@
         return usable;
     }
 
-    /** All endpoints of the configuration. */
+    /** Returns all endpoints of the configuration. */
     public Collection<Endpoint> all() {
         return refresh();
     }
 
     /**
-     * Brings the endpoints level with the configuration in force at this moment.
+     * Updates the endpoints to the configuration in force now, and returns them.
      *
-     * <p>Called for each request and each report, so the same catalog is not gone through again.
-     * The catalog is read under the lock: an older one can't be applied after a newer one.
+     * <p>A catalog that is applied already is not applied again, because this method runs for each
+     * request and each poll. The catalog is read under the lock, so an older one can't be applied
+     * after a newer one.
      */
     private synchronized Collection<Endpoint> refresh() {
         Catalog catalog = state.view().catalog();
@@ -104,11 +111,11 @@
     }
 
     private void apply(Catalog catalog) {
-        Set<String> named = new HashSet<>();
+        Set<String> configuredIds = new HashSet<>();
         for (PoolObject pool : catalog.pools()) {
             for (EndpointEntry entry : pool.getEndpointsList()) {
                 String id = pool.getPool() + "/" + entry.getEndpoint() + "/" + entry.getUrl();
-                named.add(id);
+                configuredIds.add(id);
                 endpoints
                         .computeIfAbsent(
                                 id,
@@ -120,13 +127,13 @@
                         .setLeaving(entry.getLeaving());
             }
         }
-        endpoints.keySet().retainAll(named);
+        endpoints.keySet().retainAll(configuredIds);
     }
 
     private void pollAll() {
         for (Endpoint endpoint : refresh()) {
             if (polling.add(endpoint.url())) {
-                polls.execute(() -> poll(endpoint));
+                pollExecutor.execute(() -> poll(endpoint));
             }
         }
     }
@@ -141,12 +148,12 @@
         }
     }
 
-    /** Takes in a report, polled or carried by an answer. */
+    /** Records the report of an endpoint, from a poll or from a response. */
     public void report(Endpoint endpoint, EndpointReport report) {
         boolean wasLive = endpoint.isLive();
         if (endpoint.update(report)) {
             EventLog.warn(LogEvent.RUNNER_REPLACED, "endpoint " + endpoint.name());
-            replacedListeners.forEach(listener -> listener.accept(endpoint));
+            restartListeners.forEach(listener -> listener.accept(endpoint));
         }
         if (!wasLive) {
             EventLog.info(
@@ -156,7 +163,7 @@
         changedListener.run();
     }
 
-    /** Notes that an endpoint does not answer; its calls break off and their requests move. */
+    /** Marks an endpoint down and cancels the calls to it, so that their requests move. */
     public void down(Endpoint endpoint, String reason) {
         if (endpoint.isLive()) {
             EventLog.warn(
@@ -167,7 +174,7 @@
 
     @Override
     public void stop() {
-        polls.shutdownNow();
+        pollExecutor.shutdownNow();
         client.close();
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/runner/EndpointReport.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/runner/EndpointReport.java
@@ -1,13 +1,13 @@
 package org.bronzelug.daemon.runner;
 
 /**
- * What an endpoint reports of itself, with a lag. Immutable.
+ * The state that an endpoint reports of itself. It lags behind the actual state. Immutable.
  *
- * @param incarnation changes with each start of the engine
- * @param weightsVersion that it has loaded; 0 for application runners
- * @param queuedPrefillTokens that wait there
- * @param running streams
- * @param loading whether it loads weights now
+ * @param incarnation an id that changes with each start of the engine
+ * @param weightsVersion the version of the loaded weights; 0 for application runners
+ * @param queuedPrefillTokens prompt tokens that wait for their prefill
+ * @param running the number of streams in progress
+ * @param loading whether the endpoint is loading weights
  */
 public record EndpointReport(
         String incarnation,
@@ -16,7 +16,7 @@
         int running,
         boolean loading) {
 
-    /** Before the first report. */
+    /** Returns the state before the first report. */
     public static EndpointReport unknown() {
         return new EndpointReport("", 0, 0, 0, false);
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/runner/RunnerClient.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/runner/RunnerClient.java
@@ -24,16 +24,17 @@
 import org.bronzelug.daemon.settings.Settings;
 
 /**
- * The calls to endpoints over HTTP. Blocking; thread-safe.
+ * HTTP client for the calls to endpoints. Blocking; thread-safe.
  *
- * <p>OkHttp's own retry on connection failure is off: it would send a non-idempotent call twice.
+ * <p>OkHttp's own retry on connection failure is off, because it could send a non-idempotent call
+ * twice.
  */
 @Singleton
 public final class RunnerClient {
     private static final String NOT_RUN_HEADER = "x-not-run";
     private static final String ACTION_ID_HEADER = "x-action-id";
-    private static final MediaType JSON_TYPE = MediaType.get("application/json");
-    private static final MediaType BINARY = MediaType.get("application/octet-stream");
+    private static final MediaType JSON_MEDIA_TYPE = MediaType.get("application/json");
+    private static final MediaType BINARY_MEDIA_TYPE = MediaType.get("application/octet-stream");
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     private static final Duration STATE_TIMEOUT = Duration.ofMillis(700);
     private static final Duration ORDER_TIMEOUT = Duration.ofSeconds(20);
@@ -64,11 +65,14 @@
         orderHttp = http.newBuilder().callTimeout(ORDER_TIMEOUT).build();
     }
 
-    /** Runs one attempt of a generation until its end, a cancel, or a failure. */
+    /**
+     * Runs one attempt of a generation. Returns when the stream is complete or the listener wants
+     * no more chunks.
+     */
     public void complete(Endpoint endpoint, CompletionRequest request, CompletionListener listener)
             throws RunnerException, StreamGapException {
-        RequestBody body = RequestBody.create(toJson(request).toString(), JSON_TYPE);
-        // A compressing server may hold chunks back until its buffer is full.
+        RequestBody body = RequestBody.create(toJson(request).toString(), JSON_MEDIA_TYPE);
+        // A server that compresses may delay chunks until its buffer is full.
         Request.Builder post =
                 post(endpoint, "/v1/completions", body).header("Accept-Encoding", "identity");
         Call call = http.newCall(post.build());
@@ -78,7 +82,9 @@
             readChunks(endpoint, response.body().source(), listener);
         } catch (IOException broken) {
             throw new RunnerException(
-                    endpoint.name() + " broke off: " + broken.getMessage(), false, broken);
+                    endpoint.name() + " failed during the completion: " + broken.getMessage(),
+                    false,
+                    broken);
         } finally {
             endpoint.unregister(call);
         }
@@ -89,13 +95,15 @@
         while (true) {
             String line = source.readUtf8Line();
             if (line == null) {
-                throw new RunnerException(endpoint.name() + " ended before the end line", false);
+                throw new RunnerException(
+                        endpoint.name() + " ended the stream without the end line", false);
             }
-            // From the first chunk on, silence means that the engine stands still.
+            // Once the first chunk has arrived, a longer pause means that the engine is frozen.
             source.timeout().timeout(silenceMillis, TimeUnit.MILLISECONDS);
             JsonNode node = JSON.readTree(line);
             if (node.path("cancelled").asBoolean(false)) {
-                throw new RunnerException(endpoint.name() + " was told to stop", false);
+                throw new RunnerException(
+                        endpoint.name() + " reported that the generation was cancelled", false);
             }
             if (node.path("end").asBoolean(false)) {
                 listener.end(node.path("cached_tokens").asInt(), toReport(node));
@@ -107,49 +115,53 @@
         }
     }
 
-    /** Tells a runner to stop a generation; best effort. */
+    /** Asks a runner to cancel a generation. Best effort: a failure is ignored. */
     public void cancel(Endpoint endpoint, String requestId) {
         String body = JSON.createObjectNode().put("request_id", requestId).toString();
-        RequestBody requestBody = RequestBody.create(body, JSON_TYPE);
+        RequestBody requestBody = RequestBody.create(body, JSON_MEDIA_TYPE);
         Call call = stateHttp.newCall(post(endpoint, "/v1/cancel", requestBody).build());
         try (Response response = call.execute()) {
             response.body().bytes();
         } catch (IOException unreachable) {
-            // The engine is gone, and the generation with it.
+            // The engine is unreachable; there is nothing more to do for the generation.
             return;
         }
     }
 
-    /** Asks an endpoint for its state. */
+    /** Reads the state of an endpoint. */
     public EndpointReport state(Endpoint endpoint) throws RunnerException {
         Request request = new Request.Builder().url(endpoint.url() + "/v1/state").build();
         try (Response response = stateHttp.newCall(request).execute()) {
             requireSuccess(endpoint, response);
             return toReport(JSON.readTree(response.body().bytes()));
         } catch (IOException unreachable) {
-            throw new RunnerException(endpoint.name() + " does not answer", true, unreachable);
+            throw new RunnerException(
+                    endpoint.name() + " did not answer the state request", true, unreachable);
         }
     }
 
-    /** Orders a runner to load weights; returns when it has. */
+    /** Orders a runner to load weights. Returns when the runner has loaded them. */
     public void order(Endpoint endpoint, long fencing, long weightsVersion) throws RunnerException {
         ObjectNode order = JSON.createObjectNode();
         order.put("fencing", fencing);
         order.put("weights_version", weightsVersion);
-        RequestBody body = RequestBody.create(order.toString(), JSON_TYPE);
+        RequestBody body = RequestBody.create(order.toString(), JSON_MEDIA_TYPE);
         Call call = orderHttp.newCall(post(endpoint, "/v1/orders", body).build());
         try (Response response = call.execute()) {
             requireSuccess(endpoint, response);
         } catch (IOException failed) {
-            throw new RunnerException(endpoint.name() + " did not answer the order", false, failed);
+            throw new RunnerException(
+                    endpoint.name() + " did not answer the order to load weights", false, failed);
         }
     }
 
     /**
-     * Runs one call of an application runner.
+     * Runs one action on an application runner.
      *
-     * @param actionId for an endpoint that refuses a second run by itself
-     * @param timeoutMillis after which the call's outcome is in doubt
+     * @param actionId the id by which an endpoint can recognize and reject a second run; empty for
+     *     an idempotent action
+     * @param timeoutMillis the time after which the outcome of the action is in doubt
+     * @return the body of the response
      */
     public byte[] act(
             Endpoint endpoint,
@@ -159,14 +171,17 @@
             long timeoutMillis)
             throws RunnerException {
         Request.Builder request =
-                post(endpoint, "/v1/actions/" + method, RequestBody.create(body, BINARY));
+                post(
+                        endpoint,
+                        "/v1/actions/" + method,
+                        RequestBody.create(body, BINARY_MEDIA_TYPE));
         actionId.ifPresent(id -> request.header(ACTION_ID_HEADER, id));
         Call call = http.newCall(request.build());
         call.timeout().timeout(timeoutMillis, TimeUnit.MILLISECONDS);
-        // A call that may not be repeated is never broken off by a failed poll: its answer may
-        // still come, and without it the call is in doubt.
-        boolean mayBreakOff = actionId.isEmpty();
-        if (mayBreakOff) {
+        // A failed poll cancels idempotent calls only: the response to a non-idempotent call may
+        // still arrive, and without it the outcome is in doubt.
+        boolean isIdempotent = actionId.isEmpty();
+        if (isIdempotent) {
             endpoint.register(call);
         }
         try (Response response = call.execute()) {
@@ -182,7 +197,7 @@
         }
     }
 
-    /** Frees the connections. */
+    /** Closes the idle connections and stops the dispatcher. */
     public void close() {
         http.dispatcher().executorService().shutdown();
         http.connectionPool().evictAll();
--- a/daemon/src/main/java/org/bronzelug/daemon/runner/RunnerException.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/runner/RunnerException.java
@@ -1,13 +1,13 @@
 package org.bronzelug.daemon.runner;
 
-/** A call to an endpoint failed. */
+/** Thrown when a call to an endpoint fails. */
 public final class RunnerException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final boolean notRun;
 
     /**
-     * @param notRun whether the call certainly had no effect
+     * @param notRun whether the call had no effect for certain
      */
     public RunnerException(String message, boolean notRun) {
         super(message);
@@ -19,7 +19,10 @@
         this.notRun = notRun;
     }
 
-    /** Whether the call certainly had no effect: nothing was sent, or it was refused unrun. */
+    /**
+     * Returns whether the call had no effect for certain: it was never sent, or the endpoint
+     * rejected it without running it.
+     */
     public boolean isNotRun() {
         return notRun;
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/runner/package-info.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/runner/package-info.java
@@ -1,2 +1,2 @@
-/** The endpoints: their state, and the calls made to them (docs/PROTOCOL.md "Runners"). */
+/** The endpoints: their state, and the HTTP calls to them (docs/PROTOCOL.md "Runners"). */
 package org.bronzelug.daemon.runner;
