--- a/daemon/src/main/java/org/bronzelug/daemon/caller/CallerKeys.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/caller/CallerKeys.java
@@ -13,16 +13,17 @@
 import org.bronzelug.daemon.generate.RejectionException;
 
 /**
- * Which team a key belongs to, now.
+ * Authenticates callers: maps the digest of a key to the team that the key belongs to now.
  *
- * <p>Invariant: only the digest of a key leaves the call's interceptor, and a team is named only
- * while this VM's configuration is surely younger than the freshness limit. So a withdrawn key is
- * refused at each call, on open connections too, and also at a VM that is cut off. Thread-safe.
+ * <p>Invariant: only the digest of a key leaves {@link HeaderInterceptor}, and a team is returned
+ * only while this VM's configuration is certainly younger than the freshness limit. So a withdrawn
+ * key is rejected at each call, also on connections that are already open and on a VM that is cut
+ * off from the platform and its peers. Thread-safe.
  */
 @Singleton
 public final class CallerKeys {
-    /** The digest of the key that came with the present call. */
-    public static final Context.Key<KeyDigest> PRESENT = Context.key("bronzelug-key-digest");
+    /** The gRPC context key of the digest of the key in the current call's headers. */
+    public static final Context.Key<KeyDigest> KEY_DIGEST = Context.key("bronzelug-key-digest");
 
     static final Metadata.Key<String> HEADER =
             Metadata.Key.of("bronzelug-key", Metadata.ASCII_STRING_MARSHALLER);
@@ -34,7 +35,12 @@
         this.state = state;
     }
 
-    /** The team of a key. */
+    /**
+     * Returns the team of a key.
+     *
+     * @throws RejectionException if the configuration is too old, or the key is unknown or
+     *     withdrawn
+     */
     public String teamOf(KeyDigest key) throws RejectionException {
         ControlView view = state.view();
         if (!view.isFresh(System.nanoTime())) {
--- a/daemon/src/main/java/org/bronzelug/daemon/caller/CallerServer.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/caller/CallerServer.java
@@ -18,12 +18,12 @@
 /** The gRPC server for callers and operators. Thread-safe. */
 @Singleton
 public final class CallerServer implements Service {
-    /** Under which the kernel knows this service. */
+    /** The name of this service in the kernel. */
     public static final String NAME = "callers";
 
     private static final int MAXIMUM_STREAMS_PER_CONNECTION = 1_000;
     private static final int MAXIMUM_HEADER_BYTES = 8_192;
-    private static final long LAST_ANSWERS_MILLIS = 500;
+    private static final long SHUTDOWN_GRACE_MILLIS = 500;
 
     private final Settings settings;
     private final Provider<RouterCalls> routerCalls;
@@ -69,13 +69,13 @@
         }
     }
 
-    /** The address that callers reach this VM at. */
+    /** Returns the address at which callers reach this VM. */
     public String address() {
         if (settings.advertise().callers().isPresent()) {
             return settings.advertise().callers().get();
         }
-        // Remembered: a stopped server has no port to ask for, and others still ask for the
-        // address.
+        // Stored at the start: a stopped server can't report its port, and other services still
+        // need the address.
         return port.isPresent()
                 ? Addresses.withPort(settings.listen().callers(), port.getAsInt())
                 : settings.listen().callers();
@@ -88,10 +88,10 @@
         }
         server.shutdown();
         try {
-            if (!server.awaitTermination(LAST_ANSWERS_MILLIS, TimeUnit.MILLISECONDS)) {
+            if (!server.awaitTermination(SHUTDOWN_GRACE_MILLIS, TimeUnit.MILLISECONDS)) {
                 server.shutdownNow();
             }
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             server.shutdownNow();
         }
--- a/daemon/src/main/java/org/bronzelug/daemon/caller/GrpcChunkSink.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/caller/GrpcChunkSink.java
@@ -7,33 +7,34 @@
 import org.bronzelug.daemon.generate.ChunkSink;
 
 /**
- * Sends chunks to one caller, and waits while the caller is slow, so that nothing piles up here.
+ * Sends chunks to one caller with backpressure: blocks while the transport is not ready, so that no
+ * chunks are buffered for a slow caller.
  *
- * <p>Thread-safe: one thread sends, gRPC's own tell of readiness and cancellation.
+ * <p>Thread-safe: one thread sends; gRPC's threads report readiness and cancellation.
  */
 final class GrpcChunkSink implements ChunkSink {
     private static final long RECHECK_MILLIS = 1_000;
 
     private final ServerCallStreamObserver<GenerateEvent> observer;
-    private final CompletableFuture<Void> gone = new CompletableFuture<>();
+    private final CompletableFuture<Void> cancelled = new CompletableFuture<>();
 
     GrpcChunkSink(ServerCallStreamObserver<GenerateEvent> observer) {
         this.observer = observer;
-        observer.setOnReadyHandler(this::wake);
-        observer.setOnCancelHandler(this::goAway);
+        observer.setOnReadyHandler(this::wakeSender);
+        observer.setOnCancelHandler(this::handleCancel);
     }
 
-    private void goAway() {
-        wake();
-        gone.complete(null);
+    private void handleCancel() {
+        wakeSender();
+        cancelled.complete(null);
     }
 
     @Override
     public void onCancel(Runnable action) {
-        gone.thenRun(action);
+        cancelled.thenRun(action);
     }
 
-    private synchronized void wake() {
+    private synchronized void wakeSender() {
         notifyAll();
     }
 
@@ -43,7 +44,7 @@
             while (!observer.isReady() && !observer.isCancelled()) {
                 wait(RECHECK_MILLIS);
             }
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return false;
         }
--- a/daemon/src/main/java/org/bronzelug/daemon/caller/HeaderInterceptor.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/caller/HeaderInterceptor.java
@@ -10,9 +10,11 @@
 import org.bronzelug.daemon.operator.OperatorSecret;
 
 /**
- * Takes the key and the operators' secret out of a call's headers.
+ * gRPC interceptor that reads the caller's key and the operators' secret from the headers of a
+ * call.
  *
- * <p>Both are turned into digests here and go no further. Thread-safe.
+ * <p>Puts only their digests into the call's context, so neither the key nor the secret goes any
+ * further. Thread-safe.
  */
 final class HeaderInterceptor implements ServerInterceptor {
     @Override
@@ -22,9 +24,10 @@
         String secret = headers.get(OperatorSecret.HEADER);
         Context context =
                 Context.current()
-                        .withValue(CallerKeys.PRESENT, KeyDigest.of(key == null ? "" : key))
+                        .withValue(CallerKeys.KEY_DIGEST, KeyDigest.of(key == null ? "" : key))
                         .withValue(
-                                OperatorSecret.PRESENT, KeyDigest.of(secret == null ? "" : secret));
+                                OperatorSecret.SECRET_DIGEST,
+                                KeyDigest.of(secret == null ? "" : secret));
         return Contexts.interceptCall(context, call, headers, next);
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/caller/Problems.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/caller/Problems.java
@@ -8,14 +8,17 @@
 import org.bronzelug.api.Problem;
 import org.bronzelug.daemon.generate.ProblemCode;
 
-/** Problems as answers, and as gRPC errors where the answer has no field for one. Stateless. */
+/**
+ * Creates problems for responses, and gRPC errors for responses that have no field for a problem.
+ * Stateless.
+ */
 public final class Problems {
     private static final Metadata.Key<Problem> TRAILER =
             ProtoUtils.keyForProto(Problem.getDefaultInstance());
 
     private Problems() {}
 
-    /** The problem as a gRPC error, with the typed problem in its trailers. */
+    /** Converts a problem to a gRPC error that carries the typed problem in its trailers. */
     public static StatusRuntimeException toStatus(Problem problem) {
         Metadata trailers = new Metadata();
         trailers.put(TRAILER, problem);
--- a/daemon/src/main/java/org/bronzelug/daemon/caller/RouterCalls.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/caller/RouterCalls.java
@@ -31,7 +31,8 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * The calls of callers. Each runs on a thread of its own; refusals are answers, not gRPC errors.
+ * gRPC service for callers. Each generation and each action runs on a virtual thread of its own;
+ * their rejections are responses, not gRPC errors.
  *
  * <p>Thread-safe.
  */
@@ -41,69 +42,69 @@
 
     private final Settings settings;
     private final CallerKeys keys;
-    private final VmChoice choice;
-    private final ActionBook actions;
+    private final VmChoice vmChoice;
+    private final ActionBook actionBook;
     private final GenerateService generations;
     private final ActionService actionService;
-    private final DrainGate gate;
-    private final ExecutorService traffic = Executors.newVirtualThreadPerTaskExecutor();
+    private final DrainGate drainGate;
+    private final ExecutorService requestThreads = Executors.newVirtualThreadPerTaskExecutor();
 
     @Inject
     public RouterCalls(
             Settings settings,
             CallerKeys keys,
-            VmChoice choice,
-            ActionBook actions,
+            VmChoice vmChoice,
+            ActionBook actionBook,
             GenerateService generations,
             ActionService actionService,
-            DrainGate gate) {
+            DrainGate drainGate) {
         this.settings = settings;
         this.keys = keys;
-        this.choice = choice;
-        this.actions = actions;
+        this.vmChoice = vmChoice;
+        this.actionBook = actionBook;
         this.generations = generations;
         this.actionService = actionService;
-        this.gate = gate;
+        this.drainGate = drainGate;
     }
 
     @Override
     public void locate(LocateRequest request, StreamObserver<LocateAnswer> observer) {
         try {
-            String team = keys.teamOf(CallerKeys.PRESENT.get());
+            String team = keys.teamOf(CallerKeys.KEY_DIGEST.get());
             PrefixChain root =
                     PrefixChain.of(team, request.getModel(), 0, List.of(request.getRootSegment()));
-            LocateAnswer.Builder answer =
+            LocateAnswer.Builder response =
                     LocateAnswer.newBuilder()
-                            .addAllVms(choice.order(root.root().hash().toString()))
+                            .addAllVms(vmChoice.preferenceOrder(root.root().hash().toString()))
                             .setValidForMs(LOCATION_VALID_MILLIS);
-            if (!choice.isDraining()) {
-                answer.setActionPrefix(actions.prefix()).setActionVm(choice.self());
+            if (!vmChoice.isDraining()) {
+                response.setActionPrefix(actionBook.prefix()).setActionVm(vmChoice.self());
             }
-            observer.onNext(answer.build());
+            observer.onNext(response.build());
             observer.onCompleted();
-        } catch (RejectionException refused) {
-            observer.onError(Problems.toStatus(refused.problem()));
+        } catch (RejectionException rejected) {
+            observer.onError(Problems.toStatus(rejected.problem()));
         }
     }
 
     @Override
     public void generate(GenerateRequest request, StreamObserver<GenerateEvent> observer) {
-        KeyDigest key = CallerKeys.PRESENT.get();
+        KeyDigest key = CallerKeys.KEY_DIGEST.get();
         GrpcChunkSink sink = new GrpcChunkSink((ServerCallStreamObserver<GenerateEvent>) observer);
-        if (!gate.enter()) {
-            finish(observer, event(Problems.stopping()));
+        if (!drainGate.enter()) {
+            finish(observer, problemEvent(Problems.stopping()));
             return;
         }
-        traffic.execute(
+        requestThreads.execute(
                 () -> {
-                    GenerateEvent last;
+                    GenerateEvent lastEvent;
                     try {
-                        last = generate(key, request, sink);
+                        lastEvent = generate(key, request, sink);
                     } finally {
-                        gate.leave();
+                        drainGate.leave();
                     }
                     if (!sink.isCancelled()) {
-                        finish(observer, last);
+                        finish(observer, lastEvent);
                     }
                 });
     }
@@ -122,39 +123,40 @@
                             .setAttempts(result.attempts())
                             .build();
             return GenerateEvent.newBuilder().setFinished(finished).build();
-        } catch (RejectionException refused) {
-            return event(refused.problem());
-        } catch (InterruptedException stopped) {
+        } catch (RejectionException rejected) {
+            return problemEvent(rejected.problem());
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            return event(Problems.stopping());
+            return problemEvent(Problems.stopping());
         } catch (RuntimeException unexpected) {
-            EventLog.warn(LogEvent.INTERNAL_ERROR, "in a generation", unexpected);
-            return event(Problems.internal());
+            EventLog.warn(
+                    LogEvent.INTERNAL_ERROR, "unexpected exception in a generation", unexpected);
+            return problemEvent(Problems.internal());
         }
     }
 
-    private static GenerateEvent event(Problem problem) {
+    private static GenerateEvent problemEvent(Problem problem) {
         return GenerateEvent.newBuilder().setProblem(problem).build();
     }
 
-    private static <T> void finish(StreamObserver<T> observer, T last) {
-        observer.onNext(last);
+    private static <T> void finish(StreamObserver<T> observer, T lastMessage) {
+        observer.onNext(lastMessage);
         observer.onCompleted();
     }
 
     @Override
     public void runAction(RunActionRequest request, StreamObserver<RunActionAnswer> observer) {
-        KeyDigest key = CallerKeys.PRESENT.get();
-        if (!gate.enter()) {
-            finish(observer, answer(Problems.stopping()));
+        KeyDigest key = CallerKeys.KEY_DIGEST.get();
+        if (!drainGate.enter()) {
+            finish(observer, problemResponse(Problems.stopping()));
             return;
         }
-        traffic.execute(
+        requestThreads.execute(
                 () -> {
                     try {
                         finish(observer, runAction(key, request));
                     } finally {
-                        gate.leave();
+                        drainGate.leave();
                     }
                 });
     }
@@ -162,18 +164,18 @@
     private RunActionAnswer runAction(KeyDigest key, RunActionRequest request) {
         try {
             return actionService.run(keys.teamOf(key), request);
-        } catch (RejectionException refused) {
-            return answer(refused.problem());
-        } catch (InterruptedException stopped) {
+        } catch (RejectionException rejected) {
+            return problemResponse(rejected.problem());
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            return answer(Problems.internal());
+            return problemResponse(Problems.internal());
         } catch (RuntimeException unexpected) {
-            EventLog.warn(LogEvent.INTERNAL_ERROR, "in an action", unexpected);
-            return answer(Problems.internal());
+            EventLog.warn(LogEvent.INTERNAL_ERROR, "unexpected exception in an action", unexpected);
+            return problemResponse(Problems.internal());
         }
     }
 
-    private RunActionAnswer answer(Problem problem) {
+    private RunActionAnswer problemResponse(Problem problem) {
         return RunActionAnswer.newBuilder()
                 .setExecution(problem.getExecution())
                 .setProblem(problem)
@@ -184,11 +186,11 @@
     @Override
     public void cancel(CancelRequest request, StreamObserver<CancelAnswer> observer) {
         try {
-            String team = keys.teamOf(CallerKeys.PRESENT.get());
+            String team = keys.teamOf(CallerKeys.KEY_DIGEST.get());
             boolean found = generations.cancel(team, request.getRequestId());
             finish(observer, CancelAnswer.newBuilder().setFound(found).build());
-        } catch (RejectionException refused) {
-            observer.onError(Problems.toStatus(refused.problem()));
+        } catch (RejectionException rejected) {
+            observer.onError(Problems.toStatus(rejected.problem()));
         }
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/caller/VmChoice.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/caller/VmChoice.java
@@ -13,11 +13,11 @@
 import org.bronzelug.daemon.settings.Settings;
 
 /**
- * Which VMs a caller should use, in order.
+ * Chooses the order in which a caller should try the VMs.
  *
- * <p>Callers with the same prompt root are steered to the same VM, which then knows from its own
- * dispatches what the runners have cached; so no VM needs an index of all blocks. VMs that stop or
- * are not heard of come last. Thread-safe.
+ * <p>Callers with the same prompt root are steered to the same VM. That VM knows from its own
+ * requests what the runners have cached for the root, so no VM needs an index of all cached blocks.
+ * VMs that are stopping or unreachable come last. Thread-safe.
  */
 @Singleton
 public final class VmChoice {
@@ -30,20 +30,20 @@
         this.state = state;
     }
 
-    /** The VMs in the order to try them for a prompt root. */
-    public List<VmAddress> order(String rootHash) {
+    /** Returns the VMs in the order in which to try them for a prompt root. */
+    public List<VmAddress> preferenceOrder(String rootHash) {
         ControlView view = state.view();
         Map<String, RosterEntry> roster = view.catalog().roster();
-        List<String> good = new ArrayList<>();
-        List<String> last = new ArrayList<>();
+        List<String> available = new ArrayList<>();
+        List<String> unavailable = new ArrayList<>();
         for (String vm : Rendezvous.order(rootHash, roster.keySet())) {
-            (isGood(view, vm) ? good : last).add(vm);
+            (isAvailable(view, vm) ? available : unavailable).add(vm);
         }
-        good.addAll(last);
-        return good.stream().map(vm -> address(roster.get(vm))).toList();
+        available.addAll(unavailable);
+        return available.stream().map(vm -> address(roster.get(vm))).toList();
     }
 
-    private boolean isGood(ControlView view, String vm) {
+    private boolean isAvailable(ControlView view, String vm) {
         if (vm.equals(settings.vm())) {
             return !isDraining();
         }
@@ -51,12 +51,12 @@
         return peer != null && peer.live() && !peer.draining();
     }
 
-    /** Whether this VM is about to stop. */
+    /** Returns whether this VM is draining before a graceful stop. */
     public boolean isDraining() {
         return state.isDraining();
     }
 
-    /** This VM's own address. */
+    /** Returns this VM's own address. */
     public VmAddress self() {
         RosterEntry entry = state.view().catalog().roster().get(settings.vm());
         return entry == null ? VmAddress.newBuilder().setVm(settings.vm()).build() : address(entry);
--- a/daemon/src/main/java/org/bronzelug/daemon/caller/package-info.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/caller/package-info.java
@@ -1,2 +1,2 @@
-/** The calls of callers and operators over gRPC (docs/SCHEMA.md). */
+/** The gRPC server for callers and operators, and the service for callers (docs/SCHEMA.md). */
 package org.bronzelug.daemon.caller;
--- a/daemon/src/main/java/org/bronzelug/daemon/operator/ChangeService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/operator/ChangeService.java
@@ -25,13 +25,15 @@
 import org.bronzelug.log.LogEvent;
 
 /**
- * Applies operators' changes: read, edit, commit if unchanged, announce.
+ * Applies operators' changes with optimistic concurrency: reads an object, edits it, writes it if
+ * its version is unchanged, and announces it to the other VMs.
  *
- * <p>Blocking; called on traffic threads. Thread-safe: racing changes meet in the platform.
+ * <p>Blocking; called on request threads. Thread-safe: the platform's conditional write decides
+ * between concurrent changes.
  */
 @Singleton
 public final class ChangeService {
-    private static final int TRIES = 8;
+    private static final int MAXIMUM_ATTEMPTS = 8;
 
     private final PlatformClient platform;
     private final ObjectWriter writer;
@@ -50,24 +52,24 @@
         this.random = random;
     }
 
-    /** Applies a change; the answer tells what became of it. */
+    /** Applies a change and returns its result. */
     public ChangeAnswer change(ChangeRequest request) throws RejectionException {
         ConfigurationEdit edit = new ConfigurationEdit(request, random);
         String key = edit.objectKey();
         long lastVersion = 0;
-        for (int attempt = 0; attempt < TRIES; attempt++) {
-            Optional<VersionedObject> present = read(key);
-            long version = present.map(VersionedObject::version).orElse(0L);
+        for (int attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
+            Optional<VersionedObject> current = read(key);
+            long version = current.map(VersionedObject::version).orElse(0L);
             if (request.getExpectedVersion() > 0 && request.getExpectedVersion() != version) {
                 return conflict(key, version);
             }
-            beforeWrite(request, key, present);
-            ObjectWriter.Outcome outcome = write(edit, request, key, present);
+            requireConfirmedRoster(request, key, current);
+            ObjectWriter.Outcome outcome = write(edit, request, key, current);
             switch (outcome) {
                 case ObjectWriter.Outcome.Committed committed -> {
                     return announce(committed.object(), edit);
                 }
-                case ObjectWriter.Outcome.Lost lost -> lastVersion = lost.presentVersion();
+                case ObjectWriter.Outcome.Lost conflict -> lastVersion = conflict.presentVersion();
                 case ObjectWriter.Outcome.Unknown unknown -> {
                     return problem(key, ProblemCode.CHANGE_IN_DOUBT, unknown.reason(), 0);
                 }
@@ -77,14 +79,16 @@
     }
 
     /**
-     * A roster is changed only once the one before it is in force: see RosterKeeper. Where the
-     * operator vouches that the VM is off, it can't serve an old configuration, and nobody waits.
+     * Before a change of the roster, requires that a majority of the VMs has confirmed the current
+     * one (the reason is in RosterKeeper). This is not required if the operator declares that the
+     * removed VM is switched off, because such a VM can't serve an old configuration.
      */
-    private void beforeWrite(ChangeRequest request, String key, Optional<VersionedObject> present)
+    private void requireConfirmedRoster(
+            ChangeRequest request, String key, Optional<VersionedObject> current)
             throws RejectionException {
-        boolean roster = key.equals(ObjectKeys.ROSTER) && present.isPresent();
-        boolean vouchedFor = request.getRemoveVm().getSwitchedOff();
-        if (roster && !vouchedFor && !announcer.announce(List.of(present.get()))) {
+        boolean roster = key.equals(ObjectKeys.ROSTER) && current.isPresent();
+        boolean switchedOff = request.getRemoveVm().getSwitchedOff();
+        if (roster && !switchedOff && !announcer.announce(List.of(current.get()))) {
             throw RejectionException.notRun(
                     ProblemCode.CHANGE_NOT_CONFIRMED,
                     "the present roster is not confirmed by a majority of its VMs",
@@ -97,10 +101,10 @@
             ConfigurationEdit edit,
             ChangeRequest request,
             String key,
-            Optional<VersionedObject> present)
+            Optional<VersionedObject> current)
             throws RejectionException {
         String mark = UUID.randomUUID().toString();
-        long version = present.map(VersionedObject::version).orElse(0L);
+        long version = current.map(VersionedObject::version).orElse(0L);
         AuditEntry audit =
                 AuditEntry.newBuilder()
                         .setMark(mark)
@@ -110,7 +114,7 @@
                         .setTimeMs(System.currentTimeMillis())
                         .setBaseVersion(version)
                         .build();
-        byte[] value = edit.apply(present.map(VersionedObject::value), audit);
+        byte[] value = edit.apply(current.map(VersionedObject::value), audit);
         return writer.write(key, version, value, read -> AuditTrail.hasMark(key, read, mark));
     }
 
@@ -127,21 +131,21 @@
     private ChangeAnswer announce(VersionedObject object, ConfigurationEdit edit) {
         boolean inForce = announcer.announce(List.of(object));
         EventLog.info(LogEvent.CHANGE_COMMITTED, "object " + object + ", in force: " + inForce);
-        ChangeAnswer.Builder answer =
+        ChangeAnswer.Builder response =
                 ChangeAnswer.newBuilder()
                         .setObject(object.key())
                         .setVersion(object.version())
                         .setInForce(inForce);
-        edit.issuedKey().ifPresent(answer::setKey);
+        edit.issuedKey().ifPresent(response::setKey);
         if (!inForce) {
-            answer.setProblem(
+            response.setProblem(
                     Problem.newBuilder()
                             .setCode(ProblemCode.CHANGE_NOT_CONFIRMED.name())
                             .setMessage("committed, but no majority of the VMs has confirmed it")
                             .setRemedy("look at `bronzelug status`; it comes into force by itself")
                             .setExecution(Execution.RAN));
         }
-        return answer.build();
+        return response.build();
     }
 
     private Optional<VersionedObject> read(String key) throws RejectionException {
@@ -181,7 +185,7 @@
                 .build();
     }
 
-    /** The audit entries of an object, as committed now. */
+    /** Reads the audit trail of an object from its committed value. */
     public List<AuditEntry> audit(String key) throws RejectionException {
         try {
             Optional<VersionedObject> object = read(key);
--- a/daemon/src/main/java/org/bronzelug/daemon/operator/ConfigurationEdit.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/operator/ConfigurationEdit.java
@@ -23,10 +23,10 @@
 import org.bronzelug.daemon.generate.RejectionException;
 
 /**
- * One change, as an edit of the one object that it touches.
+ * One change of the configuration, as an edit of the one object that it changes.
  *
- * <p>Immutable but for the key that an edit issues; an edit is applied afresh to each version that
- * it meets. Not thread-safe.
+ * <p>After a version conflict the edit is applied again, to the new version. Immutable except for
+ * the issued key. Not thread-safe.
  */
 final class ConfigurationEdit {
     private static final int MAXIMUM_NAME = 63;
@@ -40,12 +40,12 @@
         this.random = random;
     }
 
-    /** The key issued by the last application, shown to the operator once. */
+    /** Returns the key that the last {@link #apply} issued. It is shown to the operator once. */
     Optional<String> issuedKey() {
         return issuedKey;
     }
 
-    /** The object that the change touches. */
+    /** Returns the key of the object that the change edits. */
     String objectKey() throws RejectionException {
         return switch (request.getChangeCase()) {
             case SET_TEAM -> ObjectKeys.team(name(request.getSetTeam().getTeam()));
@@ -56,37 +56,39 @@
             case LEAVE_ENDPOINT -> ObjectKeys.pool(name(request.getLeaveEndpoint().getPool()));
             case ORDER_WEIGHTS -> ObjectKeys.pool(name(request.getOrderWeights().getPool()));
             case REMOVE_VM -> ObjectKeys.ROSTER;
-            case CHANGE_NOT_SET -> throw bad("no change in the request", "name one change");
+            case CHANGE_NOT_SET -> throw badRequest("no change in the request", "name one change");
         };
     }
 
     /**
-     * Applies the change.
+     * Applies the change to an object.
      *
-     * @param present the object's value; empty where there is none
-     * @param audit the entry that the new value carries
+     * @param current the object's value; empty if the object does not exist
+     * @param audit the audit entry to append to the object
+     * @return the new value of the object
      */
-    byte[] apply(Optional<byte[]> present, AuditEntry audit) throws RejectionException {
+    byte[] apply(Optional<byte[]> current, AuditEntry audit) throws RejectionException {
         try {
             String key = objectKey();
             if (key.equals(ObjectKeys.ROSTER)) {
-                return editRoster(require(present), audit);
+                return editRoster(require(current), audit);
             }
             return key.startsWith(ObjectKeys.TEAM_PREFIX)
-                    ? editTeam(present, audit)
-                    : editPool(present, audit);
+                    ? editTeam(current, audit)
+                    : editPool(current, audit);
         } catch (InvalidProtocolBufferException unreadable) {
-            throw bad("the object can't be read: " + unreadable.getMessage(), "see event 203");
+            throw badRequest(
+                    "the object can't be read: " + unreadable.getMessage(), "see event 203");
         }
     }
 
-    private byte[] editTeam(Optional<byte[]> present, AuditEntry audit)
+    private byte[] editTeam(Optional<byte[]> current, AuditEntry audit)
             throws RejectionException, InvalidProtocolBufferException {
-        boolean creates = request.hasSetTeam();
+        boolean mayCreate = request.hasSetTeam();
         TeamObject.Builder team =
-                creates && present.isEmpty()
+                mayCreate && current.isEmpty()
                         ? TeamObject.newBuilder()
-                        : TeamObject.parseFrom(require(present)).toBuilder();
+                        : TeamObject.parseFrom(require(current)).toBuilder();
         switch (request.getChangeCase()) {
             case SET_TEAM -> setTeam(team, request.getSetTeam());
             case ISSUE_KEY -> issueKey(team, name(request.getIssueKey().getKeyName()));
@@ -99,7 +101,8 @@
     private static void setTeam(TeamObject.Builder team, SetTeam change) throws RejectionException {
         boolean valid = change.getTokensPerSecond() >= 0 && change.getBurstTokens() > 0;
         if (!valid) {
-            throw bad("met a negative rate or no burst", "give a rate of 0 or more and a burst");
+            throw badRequest(
+                    "met a negative rate or no burst", "give a rate of 0 or more and a burst");
         }
         team.setTeam(change.getTeam())
                 .setTokensPerSecond(change.getTokensPerSecond())
@@ -108,7 +111,7 @@
 
     private void issueKey(TeamObject.Builder team, String keyName) throws RejectionException {
         if (team.getKeysList().stream().anyMatch(key -> key.getName().equals(keyName))) {
-            throw bad("the team has a key named " + keyName, "choose another name");
+            throw badRequest("the team has a key named " + keyName, "choose another name");
         }
         String key = KeyDigest.newKey(random);
         issuedKey = Optional.of(key);
@@ -129,17 +132,17 @@
         throw notFound("key " + keyName);
     }
 
-    private byte[] editPool(Optional<byte[]> present, AuditEntry audit)
+    private byte[] editPool(Optional<byte[]> current, AuditEntry audit)
             throws RejectionException, InvalidProtocolBufferException {
-        boolean creates = request.hasSetPool();
+        boolean mayCreate = request.hasSetPool();
         PoolObject.Builder pool =
-                creates && present.isEmpty()
+                mayCreate && current.isEmpty()
                         ? PoolObject.newBuilder()
-                        : PoolObject.parseFrom(require(present)).toBuilder();
+                        : PoolObject.parseFrom(require(current)).toBuilder();
         switch (request.getChangeCase()) {
             case SET_POOL -> setPool(pool, request.getSetPool());
-            case JOIN_ENDPOINT -> join(pool, request.getJoinEndpoint());
-            case LEAVE_ENDPOINT -> leave(pool, request.getLeaveEndpoint());
+            case JOIN_ENDPOINT -> joinEndpoint(pool, request.getJoinEndpoint());
+            case LEAVE_ENDPOINT -> leaveEndpoint(pool, request.getLeaveEndpoint());
             default -> orderWeights(pool, request.getOrderWeights());
         }
         AuditTrail.append(pool, audit);
@@ -156,10 +159,11 @@
                 .setChecksFencing(change.getChecksFencing());
     }
 
-    private static void join(PoolObject.Builder pool, JoinEndpoint change)
+    private static void joinEndpoint(PoolObject.Builder pool, JoinEndpoint change)
             throws RejectionException {
         if (!change.getUrl().matches("https?://[0-9.\\[\\]a-fA-F:]+")) {
-            throw bad("met the URL " + change.getUrl(), "give http://IP:port, with no host name");
+            throw badRequest(
+                    "met the URL " + change.getUrl(), "give http://IP:port, with no host name");
         }
         EndpointEntry entry =
                 EndpointEntry.newBuilder()
@@ -169,69 +173,69 @@
         replaceEndpoint(pool, entry);
     }
 
-    private static void leave(PoolObject.Builder pool, LeaveEndpoint change)
+    private static void leaveEndpoint(PoolObject.Builder pool, LeaveEndpoint change)
             throws RejectionException {
-        Optional<EndpointEntry> present =
+        Optional<EndpointEntry> current =
                 pool.getEndpointsList().stream()
                         .filter(entry -> entry.getEndpoint().equals(change.getEndpoint()))
                         .findFirst();
-        if (present.isEmpty()) {
+        if (current.isEmpty()) {
             throw notFound("endpoint " + change.getEndpoint());
         }
-        EndpointEntry leaving = present.get().toBuilder().setLeaving(true).build();
+        EndpointEntry leaving = current.get().toBuilder().setLeaving(true).build();
         replaceEndpoint(pool, leaving);
     }
 
-    private static void replaceEndpoint(PoolObject.Builder pool, EndpointEntry next) {
-        var others =
+    private static void replaceEndpoint(PoolObject.Builder pool, EndpointEntry newEntry) {
+        var otherEntries =
                 pool.getEndpointsList().stream()
-                        .filter(entry -> !entry.getEndpoint().equals(next.getEndpoint()))
+                        .filter(entry -> !entry.getEndpoint().equals(newEntry.getEndpoint()))
                         .toList();
-        pool.clearEndpoints().addAllEndpoints(others).addEndpoints(next);
+        pool.clearEndpoints().addAllEndpoints(otherEntries).addEndpoints(newEntry);
     }
 
     private static void orderWeights(PoolObject.Builder pool, OrderWeights change)
             throws RejectionException {
         if (change.getWeightsVersion() <= 0) {
-            throw bad("met no weights version", "give a version above 0");
+            throw badRequest("met no weights version", "give a version above 0");
         }
         pool.setWeightsVersion(change.getWeightsVersion());
     }
 
-    private byte[] editRoster(byte[] present, AuditEntry audit)
+    private byte[] editRoster(byte[] current, AuditEntry audit)
             throws RejectionException, InvalidProtocolBufferException {
-        RosterObject.Builder roster = RosterObject.parseFrom(present).toBuilder();
+        RosterObject.Builder roster = RosterObject.parseFrom(current).toBuilder();
         String vm = request.getRemoveVm().getVm();
-        var others =
+        var otherEntries =
                 roster.getVmsList().stream().filter(entry -> !entry.getVm().equals(vm)).toList();
-        if (others.size() == roster.getVmsCount()) {
+        if (otherEntries.size() == roster.getVmsCount()) {
             throw notFound("VM " + vm);
         }
-        roster.clearVms().addAllVms(others);
+        roster.clearVms().addAllVms(otherEntries);
         AuditTrail.append(roster, audit);
         return roster.build().toByteArray();
     }
 
-    private static byte[] require(Optional<byte[]> present) throws RejectionException {
-        if (present.isEmpty()) {
+    private static byte[] require(Optional<byte[]> current) throws RejectionException {
+        if (current.isEmpty()) {
             throw notFound("object");
         }
-        return present.get();
+        return current.get();
     }
 
     private static String name(String name) throws RejectionException {
         if (name.length() > MAXIMUM_NAME || !name.matches("[a-z0-9][a-z0-9-]*")) {
-            throw bad("met the name \"" + name + "\"", "use a-z, 0-9 and -, at most 63");
+            throw badRequest("met the name \"" + name + "\"", "use a-z, 0-9 and -, at most 63");
         }
         return name;
     }
 
-    private static RejectionException bad(String message, String remedy) {
+    private static RejectionException badRequest(String message, String remedy) {
         return RejectionException.notRun(ProblemCode.BAD_REQUEST, message, remedy, 0);
     }
 
-    private static RejectionException notFound(String what) {
+    private static RejectionException notFound(String missing) {
         return RejectionException.notRun(
-                ProblemCode.NOT_FOUND, "there is no such " + what, "see `bronzelug status`", 0);
+                ProblemCode.NOT_FOUND, "there is no such " + missing, "see `bronzelug status`", 0);
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/operator/OperatorCalls.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/operator/OperatorCalls.java
@@ -13,7 +13,7 @@
 import org.bronzelug.daemon.caller.Problems;
 import org.bronzelug.daemon.generate.RejectionException;
 
-/** The calls of operators; each needs the operators' secret. Thread-safe. */
+/** gRPC service for operators. Each call must carry the operators' secret. Thread-safe. */
 @Singleton
 public final class OperatorCalls extends OperatorGrpc.OperatorImplBase {
     private final OperatorSecret secret;
@@ -32,8 +32,8 @@
         try {
             secret.check();
             finish(observer, changes.change(request));
-        } catch (RejectionException refused) {
-            finish(observer, ChangeAnswer.newBuilder().setProblem(refused.problem()).build());
+        } catch (RejectionException rejected) {
+            finish(observer, ChangeAnswer.newBuilder().setProblem(rejected.problem()).build());
         }
     }
 
@@ -46,8 +46,8 @@
                     AuditAnswer.newBuilder()
                             .addAllEntries(changes.audit(request.getObject()))
                             .build());
-        } catch (RejectionException refused) {
-            finish(observer, AuditAnswer.newBuilder().setProblem(refused.problem()).build());
+        } catch (RejectionException rejected) {
+            finish(observer, AuditAnswer.newBuilder().setProblem(rejected.problem()).build());
         }
     }
 
@@ -56,13 +56,13 @@
         try {
             secret.check();
             finish(observer, reporter.status());
-        } catch (RejectionException refused) {
-            observer.onError(Problems.toStatus(refused.problem()));
+        } catch (RejectionException rejected) {
+            observer.onError(Problems.toStatus(rejected.problem()));
         }
     }
 
-    private static <T> void finish(StreamObserver<T> observer, T answer) {
-        observer.onNext(answer);
+    private static <T> void finish(StreamObserver<T> observer, T response) {
+        observer.onNext(response);
         observer.onCompleted();
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/operator/OperatorSecret.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/operator/OperatorSecret.java
@@ -14,11 +14,15 @@
 import org.bronzelug.daemon.generate.RejectionException;
 import org.bronzelug.daemon.settings.Settings;
 
-/** Checks the operators' secret; without one in the settings, no operator's call is taken. */
+/**
+ * Checks the operators' secret. If the settings name no readable secret file, every operator's call
+ * is rejected.
+ */
 @Singleton
 public final class OperatorSecret {
-    /** The digest of the secret that came with the present call. */
-    public static final Context.Key<KeyDigest> PRESENT = Context.key("bronzelug-operator-digest");
+    /** The gRPC context key of the digest of the secret in the current call's headers. */
+    public static final Context.Key<KeyDigest> SECRET_DIGEST =
+            Context.key("bronzelug-operator-digest");
 
     /** The header that carries the secret. */
     public static final Metadata.Key<String> HEADER =
@@ -42,14 +46,14 @@
         }
     }
 
-    /** Checks the present call. */
+    /** Rejects the current call unless it carries the secret. */
     public void check() throws RejectionException {
-        KeyDigest met = PRESENT.get();
-        boolean right =
+        KeyDigest actual = SECRET_DIGEST.get();
+        boolean matches =
                 expected.isPresent()
-                        && met != null
-                        && MessageDigest.isEqual(expected.get().bytes(), met.bytes());
-        if (!right) {
+                        && actual != null
+                        && MessageDigest.isEqual(expected.get().bytes(), actual.bytes());
+        if (!matches) {
             throw RejectionException.notRun(
                     ProblemCode.OPERATOR_REFUSED,
                     "the operators' secret is wrong or missing",
--- a/daemon/src/main/java/org/bronzelug/daemon/operator/StatusReporter.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/operator/StatusReporter.java
@@ -22,7 +22,7 @@
 import org.bronzelug.daemon.runner.EndpointDirectory;
 import org.bronzelug.daemon.settings.Settings;
 
-/** Tells what this VM knows and does. Thread-safe. */
+/** Reports the status of this VM, and of the fleet as this VM sees it. Thread-safe. */
 @Singleton
 public final class StatusReporter {
     private final Settings settings;
@@ -31,7 +31,7 @@
     private final PlatformWatch watch;
     private final PlatformClient platform;
     private final EndpointDirectory directory;
-    private final DaemonMetrics measures;
+    private final DaemonMetrics metrics;
 
     @Inject
     public StatusReporter(
@@ -41,21 +41,21 @@
             PlatformWatch watch,
             PlatformClient platform,
             EndpointDirectory directory,
-            DaemonMetrics measures) {
+            DaemonMetrics metrics) {
         this.settings = settings;
         this.control = control;
         this.state = state;
         this.watch = watch;
         this.platform = platform;
         this.directory = directory;
-        this.measures = measures;
+        this.metrics = metrics;
     }
 
-    /** The status of this moment. */
+    /** Returns the current status. */
     public StatusAnswer status() {
         ControlView view = state.view();
         long now = System.nanoTime();
-        StatusAnswer.Builder answer =
+        StatusAnswer.Builder response =
                 StatusAnswer.newBuilder()
                         .setVm(settings.vm())
                         .setIncarnation(state.self().incarnation())
@@ -65,12 +65,12 @@
                         .setPlatformReachable(watch.isReachable());
         view.catalog().roster().values().stream()
                 .sorted(java.util.Comparator.comparing(RosterEntry::getVm))
-                .forEach(entry -> answer.addVms(vm(entry, view, now)));
+                .forEach(entry -> response.addVms(vmStatus(entry, view, now)));
         for (Endpoint endpoint : directory.all()) {
-            answer.addEndpoints(endpoint(endpoint));
+            response.addEndpoints(endpointStatus(endpoint));
         }
-        addTeams(answer, view, now);
-        return answer.build();
+        addTeams(response, view, now);
+        return response.build();
     }
 
     private static long freshness(ControlView view, long now) {
@@ -82,7 +82,7 @@
                 : -1;
     }
 
-    private VmStatus vm(RosterEntry entry, ControlView view, long now) {
+    private VmStatus vmStatus(RosterEntry entry, ControlView view, long now) {
         VmStatus.Builder status =
                 VmStatus.newBuilder()
                         .setVm(entry.getVm())
@@ -94,14 +94,14 @@
                     .build();
         }
         ControlView.PeerView peer = view.peers().get(entry.getVm());
-        String name = peer.live() ? (peer.draining() ? "stopping" : "live") : "unheard";
-        return status.setState(name)
+        String stateName = peer.live() ? (peer.draining() ? "stopping" : "live") : "unheard";
+        return status.setState(stateName)
                 .setIncarnation(peer.identity().map(MemberIdentity::incarnation).orElse(""))
                 .setHeardMsAgo(TimeUnit.NANOSECONDS.toMillis(now - peer.lastSeenNanos()))
                 .build();
     }
 
-    private static EndpointStatus endpoint(Endpoint endpoint) {
+    private static EndpointStatus endpointStatus(Endpoint endpoint) {
         String live = endpoint.isLive() ? "live" : "down";
         return EndpointStatus.newBuilder()
                 .setPool(endpoint.pool())
@@ -114,21 +114,21 @@
                 .build();
     }
 
-    private void addTeams(StatusAnswer.Builder answer, ControlView view, long now) {
+    private void addTeams(StatusAnswer.Builder response, ControlView view, long now) {
         for (Map.Entry<String, TeamRate> team : view.catalog().rates().entrySet()) {
-            String name = team.getKey();
+            String teamName = team.getKey();
             TeamStatus.Builder status =
                     TeamStatus.newBuilder()
-                            .setTeam(name)
+                            .setTeam(teamName)
                             .setTokensPerSecond(team.getValue().tokensPerSecond())
                             .setBurstTokens(team.getValue().burstTokens())
-                            .setTokensHere(tokensHere(name, now))
-                            .setAdmitted(measures.admittedCount(name))
-                            .setRefused(measures.overRateCount(name));
+                            .setTokensHere(tokensHere(teamName, now))
+                            .setAdmitted(metrics.admittedCount(teamName))
+                            .setRefused(metrics.overRateCount(teamName));
             view.catalog()
-                    .share(RateShares.groupOf(name))
+                    .share(RateShares.groupOf(teamName))
                     .ifPresent(claim -> status.addHolders(claim.holder().vm()));
-            answer.addTeams(status);
+            response.addTeams(status);
         }
     }
 
--- a/daemon/src/main/java/org/bronzelug/daemon/operator/package-info.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The calls of operators: changes with their audit entry, and status. */
+/** The operators' gRPC service: changes with their audit trail, and status. */
 package org.bronzelug.daemon.operator;
