--- a/daemon/src/main/java/org/bronzelug/daemon/monitor/DaemonMetrics.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/monitor/DaemonMetrics.java
@@ -11,9 +11,10 @@
 import javax.inject.Singleton;
 
 /**
- * The brief's five measures, and what they are made of.
+ * The metrics registry of the daemon: counters and timers of the traffic, and gauges derived from
+ * them.
  *
- * <p>Names of teams appear, keys never. Thread-safe.
+ * <p>Metric names contain team names, but never keys. Thread-safe.
  */
 @Singleton
 public final class DaemonMetrics {
@@ -27,7 +28,8 @@
     @Inject
     public DaemonMetrics() {
         registry.register("prefix_hit_rate", (Gauge<Double>) this::prefixHitRate);
-        registry.register("worst_team_first_token_p99_ms", (Gauge<Double>) this::worstTeam);
+        registry.register(
+                "worst_team_first_token_p99_ms", (Gauge<Double>) this::worstTeamFirstTokenMillis);
     }
 
     public MetricRegistry registry() {
@@ -38,17 +40,20 @@
         registry.counter("admitted." + team).inc();
     }
 
-    /** A refusal beyond the team's rate, which is rightful. */
+    /** Counts a rejection because the team is beyond its rate. */
     public void overRate(String team) {
         registry.counter("refused_over_rate." + team).inc();
     }
 
-    /** A refusal although the team may be within its rate: counted as wrongful. */
+    /**
+     * Counts a rejection because the VM that holds the team's rate is unavailable. Such rejections
+     * are counted as wrong, because the team may be within its rate.
+     */
     public void rateUnavailable(String team) {
         registry.counter("refused_within_rate." + team).inc();
     }
 
-    /** A caller was told that its call may or may not have run. */
+    /** Counts a response which says that the action may or may not have run. */
     public void inDoubt(String team) {
         registry.counter("actions_in_doubt." + team).inc();
     }
@@ -61,7 +66,7 @@
         return registry.counter("refused_over_rate." + team).getCount();
     }
 
-    /** The time from a request's arrival to its first chunk. */
+    /** Records the time from the arrival of a request to its first chunk. */
     public void firstToken(String team, long nanos) {
         firstToken.update(nanos, TimeUnit.NANOSECONDS);
         firstTokenByTeam
@@ -70,9 +75,11 @@
     }
 
     /**
-     * A prompt was prefilled.
+     * Counts the tokens of a prefilled prompt.
      *
-     * @param moved whether an earlier attempt had prefilled it already
+     * @param tokens all tokens of the prompt
+     * @param cached the tokens of the prompt that the runner had in its cache
+     * @param moved whether an earlier attempt has prefilled the prompt already
      */
     public void prefilled(int tokens, int cached, boolean moved) {
         promptTokens.inc(tokens);
@@ -83,15 +90,15 @@
     }
 
     private double prefixHitRate() {
-        long all = promptTokens.getCount();
-        return all == 0 ? 0 : (double) cachedTokens.getCount() / all;
+        long total = promptTokens.getCount();
+        return total == 0 ? 0 : (double) cachedTokens.getCount() / total;
     }
 
-    private double worstTeam() {
-        double worst = 0;
+    private double worstTeamFirstTokenMillis() {
+        double maximum = 0;
         for (Timer timer : firstTokenByTeam.values()) {
-            worst = Math.max(worst, timer.getSnapshot().get99thPercentile() / 1e6);
+            maximum = Math.max(maximum, timer.getSnapshot().get99thPercentile() / 1e6);
         }
-        return worst;
+        return maximum;
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/monitor/MonitorServer.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/monitor/MonitorServer.java
@@ -17,19 +17,19 @@
 import org.bronzelug.kernel.Service;
 import org.bronzelug.kernel.ServiceException;
 
-/** Serves /health and /metrics. Thread-safe. */
+/** HTTP server for the health check at /health and the metrics at /metrics. Thread-safe. */
 @Singleton
 public final class MonitorServer implements Service {
-    /** Under which the kernel knows this service. */
+    /** The name of this service in the kernel. */
     public static final String NAME = "monitor";
 
-    private static final int NOT_SERVING = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
     private static final double NANOS_PER_MILLI = 1e6;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final Settings settings;
     private final ControlState state;
-    private final DaemonMetrics measures;
+    private final DaemonMetrics daemonMetrics;
     private final PlatformClient platform;
     private Javalin server;
 
@@ -37,11 +37,11 @@
     public MonitorServer(
             Settings settings,
             ControlState state,
-            DaemonMetrics measures,
+            DaemonMetrics daemonMetrics,
             PlatformClient platform) {
         this.settings = settings;
         this.state = state;
-        this.measures = measures;
+        this.daemonMetrics = daemonMetrics;
         this.platform = platform;
     }
 
@@ -60,8 +60,8 @@
                                 config.startup.showJavalinBanner = false;
                                 config.startup.startupWatcherEnabled = false;
                                 config.concurrency.useVirtualThreads = true;
-                                config.routes.get("/health", this::health);
-                                config.routes.get("/metrics", this::metrics);
+                                config.routes.get("/health", this::serveHealth);
+                                config.routes.get("/metrics", this::serveMetrics);
                             });
             server.start(address.getHostString(), address.getPort());
         } catch (RuntimeException failed) {
@@ -70,37 +70,42 @@
         }
     }
 
-    /** The address listened on. */
+    /** Returns the address on which the server listens. */
     public String address() {
         return Addresses.withPort(settings.listen().monitor(), server.port());
     }
 
-    private void health(Context context) {
+    private void serveHealth(Context context) {
         boolean serving = state.view().isFresh(System.nanoTime()) && !state.isDraining();
-        context.status(serving ? 200 : NOT_SERVING).result(serving ? "serving" : "not serving");
+        context.status(serving ? 200 : SERVICE_UNAVAILABLE)
+                .result(serving ? "serving" : "not serving");
     }
 
-    private void metrics(Context context) {
-        ObjectNode answer = JSON.createObjectNode();
-        answer.put("platform_calls", platform.calls());
-        measures.registry()
+    private void serveMetrics(Context context) {
+        ObjectNode metrics = JSON.createObjectNode();
+        metrics.put("platform_calls", platform.calls());
+        daemonMetrics
+                .registry()
                 .getGauges()
                 .forEach(
                         (name, gauge) ->
-                                answer.put(name, ((Number) gauge.getValue()).doubleValue()));
-        for (var entry : measures.registry().getCounters().entrySet()) {
+                                metrics.put(name, ((Number) gauge.getValue()).doubleValue()));
+        for (var entry : daemonMetrics.registry().getCounters().entrySet()) {
             Counter counter = entry.getValue();
-            answer.put(entry.getKey(), counter.getCount());
+            metrics.put(entry.getKey(), counter.getCount());
         }
-        measures.registry().getTimers().forEach((name, timer) -> addTimer(answer, name, timer));
-        context.contentType("application/json").result(answer.toString());
+        daemonMetrics
+                .registry()
+                .getTimers()
+                .forEach((name, timer) -> addTimer(metrics, name, timer));
+        context.contentType("application/json").result(metrics.toString());
     }
 
-    private static void addTimer(ObjectNode answer, String name, Timer timer) {
+    private static void addTimer(ObjectNode metrics, String name, Timer timer) {
         Snapshot snapshot = timer.getSnapshot();
-        answer.put(name + ".count", timer.getCount());
-        answer.put(name + ".p50_ms", snapshot.getMedian() / NANOS_PER_MILLI);
-        answer.put(name + ".p99_ms", snapshot.get99thPercentile() / NANOS_PER_MILLI);
+        metrics.put(name + ".count", timer.getCount());
+        metrics.put(name + ".p50_ms", snapshot.getMedian() / NANOS_PER_MILLI);
+        metrics.put(name + ".p99_ms", snapshot.get99thPercentile() / NANOS_PER_MILLI);
     }
 
     @Override
--- a/daemon/src/main/java/org/bronzelug/daemon/monitor/package-info.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/monitor/package-info.java
@@ -1,2 +1,2 @@
-/** Health and metrics over HTTP (docs/OPERATIONS.md "Metrics"). */
+/** The health check and the metrics, over HTTP (docs/OPERATIONS.md "Metrics"). */
 package org.bronzelug.daemon.monitor;
