--- a/daemon/src/main/java/org/bronzelug/daemon/settings/LimitField.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/settings/LimitField.java
@@ -1,6 +1,6 @@
 package org.bronzelug.daemon.settings;
 
-/** The fields under "limits", with their range and default. Immutable. */
+/** The fields of {@code limits}, with their range and default value. Immutable. */
 public enum LimitField {
     FRESHNESS_MILLIS("freshnessMillis", 200, 10_000, 2_000),
     PROBE_MILLIS("probeMillis", 20, 2_000, 200),
@@ -14,31 +14,31 @@
     MAXIMUM_PEER_FRAME_BYTES("maximumPeerFrameBytes", 65_536, 67_108_864, 8_388_608);
 
     private final String fieldName;
-    private final long least;
-    private final long most;
-    private final long usual;
+    private final long minimum;
+    private final long maximum;
+    private final long defaultValue;
 
-    LimitField(String fieldName, long least, long most, long usual) {
+    LimitField(String fieldName, long minimum, long maximum, long defaultValue) {
         this.fieldName = fieldName;
-        this.least = least;
-        this.most = most;
-        this.usual = usual;
+        this.minimum = minimum;
+        this.maximum = maximum;
+        this.defaultValue = defaultValue;
     }
 
     public String fieldName() {
         return fieldName;
     }
 
-    public long least() {
-        return least;
+    public long minimum() {
+        return minimum;
     }
 
-    public long most() {
-        return most;
+    public long maximum() {
+        return maximum;
     }
 
-    /** The default. */
+    /** Returns the value that applies if the settings do not contain the field. */
     public long usual() {
-        return usual;
+        return defaultValue;
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/settings/SettingsReader.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/settings/SettingsReader.java
@@ -18,7 +18,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads and checks a settings file: JSON with comments. Every field is checked before any is used.
+ * Reads and validates a settings file, which is JSON with comments. All fields are validated before
+ * the daemon uses any.
  *
  * <p>Not thread-safe: one reader reads one file.
  */
@@ -40,26 +41,31 @@
         this.lines = lines;
     }
 
-    /** Reads the file. */
+    /** Reads and validates a settings file. */
     public static Settings read(Path path) throws SettingsException {
         try {
             String text = Files.readString(path);
             return new SettingsReader(path.toString(), text.lines().toList()).parse(text);
         } catch (IOException unreadable) {
             throw new SettingsException(
-                    path.toString(), 0, "", "no readable file", "a settings file", "name another");
+                    path.toString(),
+                    0,
+                    "",
+                    "no readable file",
+                    "a settings file",
+                    "give the path of a readable file");
         }
     }
 
     private Settings parse(String text) throws SettingsException {
         JsonNode root = readTree(text);
-        requireFields(
+        checkFields(
                 root,
                 "",
                 Set.of("vm", "availabilityZone", "listen", "platformUrl", "peerSecretFile"),
                 Set.of("advertise", "seedPeers", "operatorSecretFile", "limits"));
         JsonNode listen = root.get("listen");
-        requireFields(listen, "listen", Set.of("callers", "peers", "monitor"), Set.of());
+        checkFields(listen, "listen", Set.of("callers", "peers", "monitor"), Set.of());
         return new Settings(
                 text(root, "vm", NAME, "a name of a-z, 0-9 and -"),
                 text(root, "availabilityZone", NAME, "a name of a-z, 0-9 and -"),
@@ -68,7 +74,7 @@
                         address(listen, "peers"),
                         address(listen, "monitor")),
                 advertise(root.path("advertise")),
-                text(root, "platformUrl", Pattern.compile("https?://.+"), "an http URL"),
+                text(root, "platformUrl", Pattern.compile("https?://.+"), "an HTTP or HTTPS URL"),
                 addresses(root),
                 text(root, "peerSecretFile", Pattern.compile(".+"), "a file's path"),
                 root.has("operatorSecretFile")
@@ -81,7 +87,7 @@
         if (node.isMissingNode()) {
             return new Settings.Advertise(Optional.empty(), Optional.empty());
         }
-        requireFields(node, "advertise", Set.of(), Set.of("callers", "peers"));
+        checkFields(node, "advertise", Set.of(), Set.of("callers", "peers"));
         return new Settings.Advertise(
                 node.has("callers") ? Optional.of(address(node, "callers")) : Optional.empty(),
                 node.has("peers") ? Optional.of(address(node, "peers")) : Optional.empty());
@@ -91,7 +97,7 @@
         try {
             JsonNode root = JSON.readTree(text);
             if (root == null || !root.isObject()) {
-                throw wrong("", "no JSON object", "one JSON object", "see examples/");
+                throw invalid("", "no JSON object", "one JSON object", "see examples/");
             }
             return root;
         } catch (JsonProcessingException malformed) {
@@ -102,7 +108,7 @@
                     "",
                     malformed.getOriginalMessage(),
                     "JSON with comments",
-                    "mend the syntax at this line");
+                    "correct the syntax on this line");
         }
     }
 
@@ -112,7 +118,7 @@
             for (LimitField field : LimitField.values()) {
                 known.add(field.fieldName());
             }
-            requireFields(node, "limits", Set.of(), known);
+            checkFields(node, "limits", Set.of(), known);
         }
         return new Settings.Limits(
                 number(node, LimitField.FRESHNESS_MILLIS),
@@ -134,11 +140,12 @@
         }
         boolean valid =
                 value.isIntegralNumber()
-                        && value.asLong() >= field.least()
-                        && value.asLong() <= field.most();
+                        && value.asLong() >= field.minimum()
+                        && value.asLong() <= field.maximum();
         if (!valid) {
-            String range = "a whole number from " + field.least() + " to " + field.most();
-            throw wrong(field.fieldName(), value.toString(), range, "leave it out for the default");
+            String range = "an integer from " + field.minimum() + " to " + field.maximum();
+            throw invalid(
+                    field.fieldName(), value.toString(), range, "leave it out for the default");
         }
         return value.asLong();
     }
@@ -147,11 +154,16 @@
         List<String> addresses = new ArrayList<>();
         JsonNode list = root.path("seedPeers");
         if (!list.isMissingNode() && !list.isArray()) {
-            throw wrong("seedPeers", list.toString(), "a list of addresses", "write [\"IP:port\"]");
+            throw invalid(
+                    "seedPeers", list.toString(), "a list of addresses", "write [\"IP:port\"]");
         }
         for (JsonNode address : list) {
             if (!ADDRESS.matcher(address.asText()).matches()) {
-                throw wrong("seedPeers", address.toString(), "IP number:port", "use no host name");
+                throw invalid(
+                        "seedPeers",
+                        address.toString(),
+                        "an address of the form IP:port",
+                        "use an IP address, not a host name");
             }
             addresses.add(address.asText());
         }
@@ -159,27 +171,27 @@
     }
 
     private String address(JsonNode node, String field) throws SettingsException {
-        return text(node, field, ADDRESS, "IP number:port");
+        return text(node, field, ADDRESS, "an address of the form IP:port");
     }
 
     private String text(JsonNode node, String field, Pattern pattern, String expected)
             throws SettingsException {
         JsonNode value = node.get(field);
         if (!value.isTextual() || !pattern.matcher(value.asText()).matches()) {
-            throw wrong(field, value.toString(), expected, "change the value");
+            throw invalid(field, value.toString(), expected, "change the value");
         }
         return value.asText();
     }
 
-    private void requireFields(
-            JsonNode node, String where, Set<String> required, Set<String> optional)
+    private void checkFields(
+            JsonNode node, String objectName, Set<String> required, Set<String> optional)
             throws SettingsException {
         if (!node.isObject()) {
-            throw wrong(where, node.toString(), "an object", "see examples/");
+            throw invalid(objectName, node.toString(), "an object", "see examples/");
         }
         for (String field : required) {
             if (!node.has(field)) {
-                throw wrong(field, "nothing", "a value", "add the field");
+                throw invalid(field, "nothing", "a value", "add the field");
             }
         }
         for (var names = node.fieldNames(); names.hasNext(); ) {
@@ -187,13 +199,13 @@
             if (!required.contains(name) && !optional.contains(name)) {
                 Set<String> known = new TreeSet<>(required);
                 known.addAll(optional);
-                throw wrong(name, "an unknown field", "one of " + known, "remove or rename it");
+                throw invalid(name, "an unknown field", "one of " + known, "remove or rename it");
             }
         }
     }
 
-    private SettingsException wrong(String field, String met, String expected, String remedy) {
-        return new SettingsException(file, lineOf(field), field, met, expected, remedy);
+    private SettingsException invalid(String field, String actual, String expected, String remedy) {
+        return new SettingsException(file, lineOf(field), field, actual, expected, remedy);
     }
 
     private int lineOf(String field) {
--- a/daemon/src/main/java/org/bronzelug/daemon/settings/package-info.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon's settings: JSON with comments, checked at the start (docs/SETTINGS.md). */
+/** The daemon's settings: JSON with comments, validated at the start (docs/SETTINGS.md). */
 package org.bronzelug.daemon.settings;
--- a/daemon/src/test/java/org/bronzelug/daemon/CallerInputTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/CallerInputTest.java
@@ -22,10 +22,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A caller's bad input harms that caller only.
- *
- * <p>What the others would see: refusals, or broken streams. The order: one caller sends what is
- * too large, no gRPC at all, or fields that make no sense; the others go on.
+ * Guards against bad input of one caller that harms the others (rejected requests, broken streams):
+ * a request that is too large, bytes that are not gRPC, or invalid fields.
  */
 class CallerInputTest {
     @TempDir Path folder;
@@ -43,68 +41,69 @@
         fleet.close();
     }
 
-    private void assertOthersAreServed() {
+    private void assertOtherCallersAreServed() {
         var stream = fleet.router("vm-1", key).generate(TestFleet.prompt("other", 3));
         assertThat(TestFleet.receive(stream).last().hasFinished()).isTrue();
     }
 
     @Test
-    void anOversizedCallIsRefusedAlone() throws Exception {
-        int tooLarge = (int) LimitField.MAXIMUM_REQUEST_BYTES.usual() + 1;
+    void oversizedRequestIsRejectedAndOtherCallersAreServed() throws Exception {
+        int oversizedBytes = (int) LimitField.MAXIMUM_REQUEST_BYTES.usual() + 1;
         RunActionRequest request =
-                fleet.refund("vm-1", key, "large").toBuilder()
-                        .setBody(ByteString.copyFrom(new byte[tooLarge]))
+                fleet.refundRequest("vm-1", key, "large").toBuilder()
+                        .setBody(ByteString.copyFrom(new byte[oversizedBytes]))
                         .build();
-        StatusRuntimeException refused =
-                assertThrows(StatusRuntimeException.class, () -> fleet.act("vm-1", key, request));
-        assertThat(refused.getStatus().getCode()).isEqualTo(Status.Code.RESOURCE_EXHAUSTED);
-        assertThat(fleet.runsOf("large")).isEqualTo(0);
-        assertOthersAreServed();
+        StatusRuntimeException rejected =
+                assertThrows(
+                        StatusRuntimeException.class, () -> fleet.runAction("vm-1", key, request));
+        assertThat(rejected.getStatus().getCode()).isEqualTo(Status.Code.RESOURCE_EXHAUSTED);
+        assertThat(fleet.runCount("large")).isEqualTo(0);
+        assertOtherCallersAreServed();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 24, 20_000})
-    void bytesThatAreNoGrpcCloseTheirConnectionAlone(int count) throws Exception {
+    void bytesThatAreNotGrpcCloseOnlyTheirConnection(int count) throws Exception {
         String address = fleet.daemons.get("vm-1").callerAddress();
         int port = Integer.parseInt(address.substring(address.indexOf(':') + 1));
-        byte[] garbage = new byte[count];
-        new Random(count).nextBytes(garbage);
+        byte[] randomBytes = new byte[count];
+        new Random(count).nextBytes(randomBytes);
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            sendAndReadToTheEnd(socket, garbage);
+            sendAndReadUntilClosed(socket, randomBytes);
         }
-        assertOthersAreServed();
+        assertOtherCallersAreServed();
     }
 
-    private static void sendAndReadToTheEnd(Socket socket, byte[] garbage) {
+    private static void sendAndReadUntilClosed(Socket socket, byte[] randomBytes) {
         try {
-            socket.getOutputStream().write(garbage);
+            socket.getOutputStream().write(randomBytes);
             socket.shutdownOutput();
             while (socket.getInputStream().read() >= 0) {
-                // HTTP/2 says goodbye before it closes.
+                // HTTP/2 sends GOAWAY before it closes the connection.
                 continue;
             }
         } catch (IOException reset) {
-            // A reset ends the connection as well.
+            // A reset closes the connection as well.
             return;
         }
     }
 
     @Test
-    void fieldsThatMakeNoSenseAreNamed() {
-        GenerateRequest sound = TestFleet.prompt("bad", 3);
-        for (GenerateRequest bad :
+    void requestWithInvalidFieldIsRejectedWithExpectationAndRemedy() {
+        GenerateRequest valid = TestFleet.prompt("bad", 3);
+        for (GenerateRequest invalid :
                 new GenerateRequest[] {
-                    sound.toBuilder().clearRequestId().build(),
-                    sound.toBuilder().clearSegments().build(),
-                    sound.toBuilder().setMaxTokens(-1).build(),
-                    sound.toBuilder().setStartOffset(-1).build(),
-                    sound.toBuilder().setStartOffset(4).build(),
+                    valid.toBuilder().clearRequestId().build(),
+                    valid.toBuilder().clearSegments().build(),
+                    valid.toBuilder().setMaxTokens(-1).build(),
+                    valid.toBuilder().setStartOffset(-1).build(),
+                    valid.toBuilder().setStartOffset(4).build(),
                 }) {
-            var last = TestFleet.receive(fleet.router("vm-1", key).generate(bad)).last();
+            var last = TestFleet.receive(fleet.router("vm-1", key).generate(invalid)).last();
             assertThat(last.getProblem().getCode()).isEqualTo("BAD_REQUEST");
             assertThat(last.getProblem().getMessage()).contains("expected");
             assertThat(last.getProblem().getRemedy()).isNotEmpty();
         }
-        assertOthersAreServed();
+        assertOtherCallersAreServed();
     }
 }
--- a/daemon/src/test/java/org/bronzelug/daemon/ConfigurationFailureTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/ConfigurationFailureTest.java
@@ -20,12 +20,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * An accepted configuration is in force everywhere, never reverts, and one of two racing operators
- * is told that the other was first.
- *
- * <p>What the operator would see: "done" for a change that another has overwritten, or "failed" for
- * one that took effect. The order: two changes meet, or a write's answer is lost. Why: the writer
- * takes its own committed value for somebody else's.
+ * Guards against a wrong result of a configuration change: success although a concurrent change has
+ * overwritten it, or failure although it took effect. This happens when two changes race, or when
+ * the response to a write is lost and the writer takes its own committed value for another's. Also
+ * guards against VMs that miss a committed change or return to an older configuration.
  */
 class ConfigurationFailureTest {
     @TempDir Path folder;
@@ -49,7 +47,7 @@
                                 .setSetTeam(TestFleet.team("team", rate, 10)));
     }
 
-    private boolean everywhere(double rate) {
+    private boolean allVmsHaveRate(double rate) {
         TeamRate expected = new TeamRate(rate, 10);
         return fleet.daemons.values().stream()
                 .allMatch(
@@ -62,26 +60,29 @@
     }
 
     @Test
-    void aChangeComesIntoForceEverywhere() throws Exception {
+    void changeComesIntoForceOnAllVms() throws Exception {
         assertThat(setRate("vm-1", 5, 0).getInForce()).isTrue();
-        Await.until("all VMs have it", () -> everywhere(5));
+        Await.until("all VMs have the change", () -> allVmsHaveRate(5));
     }
 
-    /** The change must reach a VM whose platform and whose inbound links are cut for a while. */
+    /**
+     * Guards against a VM that misses a change because its link to the platform and its inbound
+     * peer links are cut. It can still fetch the change from its peers.
+     */
     @Test
-    void aVmThatWasCutOffCatchesUp() throws Exception {
+    void vmThatIsCutOffGetsTheChangeFromItsPeers() throws Exception {
         fleet.platformLinks.get("vm-3").cut();
         fleet.peerLinks.get("vm-3").cut();
         assertThat(setRate("vm-1", 6, 0).getInForce()).isTrue();
-        Await.until("all VMs have it, vm-3 by asking its peers", () -> everywhere(6));
+        Await.until("all VMs have the change, vm-3 from its peers", () -> allVmsHaveRate(6));
     }
 
     @Test
-    void ofRacingOperatorsOneWinsAndTheOthersAreToldTheVersion() throws Exception {
+    void onlyOneOfConcurrentChangesCommitsAndTheOthersGetItsVersion() throws Exception {
         long base = setRate("vm-1", 1, 0).getVersion();
-        List<CompletableFuture<ChangeAnswer>> racing;
+        List<CompletableFuture<ChangeAnswer>> pending;
         try (ExecutorService operators = Executors.newVirtualThreadPerTaskExecutor()) {
-            racing =
+            pending =
                     List.of(1, 2, 3).stream()
                             .map(
                                     number ->
@@ -90,29 +91,29 @@
                                                     operators))
                             .toList();
         }
-        List<ChangeAnswer> answers = racing.stream().map(CompletableFuture::join).toList();
-        List<ChangeAnswer> won = answers.stream().filter(a -> !a.hasProblem()).toList();
-        assertThat(won).hasSize(1);
-        for (ChangeAnswer answer : answers) {
-            if (answer.hasProblem()) {
-                assertThat(answer.getProblem().getCode()).isEqualTo("CONFIGURATION_CONFLICT");
-                assertThat(answer.getProblem().getCurrentVersion())
-                        .isEqualTo(won.get(0).getVersion());
+        List<ChangeAnswer> responses = pending.stream().map(CompletableFuture::join).toList();
+        List<ChangeAnswer> committed = responses.stream().filter(a -> !a.hasProblem()).toList();
+        assertThat(committed).hasSize(1);
+        for (ChangeAnswer response : responses) {
+            if (response.hasProblem()) {
+                assertThat(response.getProblem().getCode()).isEqualTo("CONFIGURATION_CONFLICT");
+                assertThat(response.getProblem().getCurrentVersion())
+                        .isEqualTo(committed.get(0).getVersion());
             }
         }
     }
 
     @Test
-    void aWriteWhoseAnswerWasLostIsKnownAsOnesOwn() throws Exception {
+    void writeWithLostResponseIsReportedAsCommitted() throws Exception {
         fleet.platform.setFaults(false, 0, 1);
-        ChangeAnswer answer = setRate("vm-1", 7, 0);
-        assertThat(answer.hasProblem()).isFalse();
-        Await.until("all VMs have it", () -> everywhere(7));
+        ChangeAnswer response = setRate("vm-1", 7, 0);
+        assertThat(response.hasProblem()).isFalse();
+        Await.until("all VMs have the change", () -> allVmsHaveRate(7));
         assertThat(audit("team/team")).hasSize(1);
     }
 
     @Test
-    void noChangeIsWithoutItsAuditEntry() throws Exception {
+    void everyChangeHasAnAuditEntryWithoutTheKey() throws Exception {
         setRate("vm-1", 1, 0);
         setRate("vm-2", 2, 0);
         String key = fleet.issueKey("team", "first");
@@ -129,30 +130,37 @@
         return fleet.operator("vm-2").audit(request).getEntriesList();
     }
 
-    /** The platform is down: nothing is changed, the operator is told so, and traffic goes on. */
+    /**
+     * Guards against a platform outage that stops requests: changes are rejected with an error to
+     * the operator, and requests are still served.
+     */
     @Test
-    void anOutageRefusesChangesAndServesOn() throws Exception {
+    void platformOutageRejectsChangesAndRequestsAreStillServed() throws Exception {
         String key = fleet.setUp(1, 0);
         fleet.platform.setFaults(true, 0, 0);
         assertThat(setRate("vm-1", 9, 0).getProblem().getCode()).isEqualTo("CHANGE_IN_DOUBT");
-        Await.until("the outage is noticed", () -> !fleet.daemons.get("vm-1").isPlatformUp());
+        Await.until(
+                "vm-1 has detected the outage", () -> !fleet.daemons.get("vm-1").isPlatformUp());
         for (String vm : fleet.daemons.keySet()) {
-            assertThat(served(vm, key)).isTrue();
+            assertThat(isServed(vm, key)).isTrue();
         }
     }
 
-    private boolean served(String vm, String key) {
-        GenerateEvent last =
+    private boolean isServed(String vm, String key) {
+        GenerateEvent lastEvent =
                 TestFleet.receive(fleet.router(vm, key).generate(TestFleet.prompt("r", 2))).last();
-        return last.hasFinished();
+        return lastEvent.hasFinished();
     }
 
-    /** A VM replaced in an outage has nothing, and gets the newest from its peers. */
+    /**
+     * Guards against a VM that starts without a configuration during a platform outage and serves
+     * none or an old one. It must get the newest configuration from its peers.
+     */
     @Test
-    void aVmReplacedInAnOutageServesTheNewestConfiguration() throws Exception {
+    void vmReplacedDuringPlatformOutageServesTheNewestConfiguration() throws Exception {
         String key = fleet.setUp(1, 0);
         fleet.issueKey(TestFleet.TEAM, "second");
-        fleet.withdraw(TestFleet.TEAM, "second");
+        fleet.withdrawKey(TestFleet.TEAM, "second");
         fleet.platform.setFaults(true, 0, 0);
         fleet.daemons.remove("vm-2").kill();
         fleet.startDaemon("vm-2");
@@ -166,16 +174,16 @@
     }
 
     /**
-     * A VM replaced in an outage hears the configuration from its peers, and so does not watch the
-     * platform itself; it must ask all the same once the platform is back, or nobody learns its new
-     * address.
+     * Guards against a roster that keeps the old address of a replaced VM. A VM that starts during
+     * a platform outage gets the configuration from its peers, so it does not watch the platform.
+     * It must still contact the platform after the outage, to write its new address to the roster.
      */
     @Test
-    void aVmReplacedInAnOutageEntersTheRosterAfterIt() throws Exception {
+    void vmReplacedDuringPlatformOutageUpdatesItsRosterEntryAfterwards() throws Exception {
         fleet.startDaemon("vm-4");
         fleet.startDaemon("vm-5");
         Await.until(
-                "five VMs know each other",
+                "all five VMs have five roster entries",
                 () ->
                         fleet.daemons.values().stream()
                                 .allMatch(d -> d.view().catalog().roster().size() == 5));
@@ -183,12 +191,12 @@
         fleet.platform.setFaults(true, 0, 0);
         fleet.daemons.remove(replaced).kill();
         fleet.startDaemon(replaced);
-        Await.until("it serves", () -> fleet.daemons.get(replaced).isServing());
+        Await.until("the replaced VM serves", () -> fleet.daemons.get(replaced).isServing());
         fleet.platform.setFaults(false, 0, 0);
         String address = fleet.peerLinks.get(replaced).address();
         for (Daemon daemon : fleet.daemons.values()) {
             Await.until(
-                    "its address is known",
+                    "a VM has the new address of the replaced VM",
                     () ->
                             daemon.view()
                                     .catalog()
@@ -199,9 +207,12 @@
         }
     }
 
-    /** All VMs are replaced at once, platform up: the herd serves with the configuration kept. */
+    /**
+     * Guards against a loss of the configuration when all VMs are replaced at once: they must read
+     * it from the platform and serve again.
+     */
     @Test
-    void aHerdOfAllVmsComesBackWithTheConfiguration() throws Exception {
+    void allVmsReplacedAtOnceServeWithTheStoredConfiguration() throws Exception {
         String key = fleet.setUp(1, 0);
         for (String vm : List.of("vm-1", "vm-2", "vm-3")) {
             fleet.daemons.remove(vm).kill();
@@ -210,13 +221,16 @@
             fleet.startDaemon(vm);
         }
         for (String vm : List.of("vm-1", "vm-2", "vm-3")) {
-            Await.until(vm + " serves again", () -> served(vm, key));
+            Await.until(vm + " serves again", () -> isServed(vm, key));
         }
     }
 
-    /** All are replaced while the platform is down: nothing is known, so nothing is served. */
+    /**
+     * Guards against VMs that serve without a configuration: all VMs are replaced during a platform
+     * outage, so none of them has one until the outage ends.
+     */
     @Test
-    void aHerdInAnOutageRefusesUntilThePlatformIsBack() throws Exception {
+    void allVmsReplacedDuringPlatformOutageRejectRequestsUntilItEnds() throws Exception {
         String key = fleet.setUp(1, 0);
         fleet.platform.setFaults(true, 0, 0);
         for (String vm : List.of("vm-1", "vm-2", "vm-3")) {
@@ -224,45 +238,47 @@
         }
         fleet.startDaemon("vm-1");
         fleet.startDaemon("vm-2");
-        GenerateEvent last =
+        GenerateEvent lastEvent =
                 TestFleet.receive(fleet.router("vm-1", key).generate(TestFleet.prompt("r", 2)))
                         .last();
-        assertThat(last.getProblem().getCode()).isEqualTo("NOT_FRESH");
-        assertThat(last.getProblem().getRetryAfterMs()).isGreaterThan(0L);
+        assertThat(lastEvent.getProblem().getCode()).isEqualTo("NOT_FRESH");
+        assertThat(lastEvent.getProblem().getRetryAfterMs()).isGreaterThan(0L);
         fleet.platform.setFaults(false, 0, 0);
-        Await.until("vm-1 serves again", () -> served("vm-1", key));
+        Await.until("vm-1 serves again", () -> isServed("vm-1", key));
     }
 
     /**
-     * All VMs are replaced by others of new names. The old majority can't confirm any more; the
-     * operator vouches that the old VMs are off, and the new ones take the rates over.
+     * Guards against a fleet that never serves again after all VMs were replaced by VMs with new
+     * names. The majority of the old roster can't confirm a change any more, so the operator
+     * removes the old VMs as switched off, and the new VMs take ownership of the rates.
      */
     @Test
-    void aFleetOfNewNamesServesOnceTheOldVmsAreVouchedFor() throws Exception {
+    void vmsWithNewNamesServeOnceTheOldVmsAreRemovedAsSwitchedOff() throws Exception {
         String key = fleet.setUp(1, 0);
         for (String vm : List.of("vm-1", "vm-2", "vm-3")) {
             fleet.daemons.remove(vm).kill();
         }
         fleet.startDaemon("new-1");
         fleet.startDaemon("new-2");
-        Await.until("new-1 knows the configuration", () -> fleet.daemons.get("new-1").isServing());
+        Await.until("new-1 has the configuration", () -> fleet.daemons.get("new-1").isServing());
         for (String vm : List.of("vm-1", "vm-2", "vm-3")) {
-            RemoveVm gone = RemoveVm.newBuilder().setVm(vm).setSwitchedOff(true).build();
+            RemoveVm removal = RemoveVm.newBuilder().setVm(vm).setSwitchedOff(true).build();
             Await.until(
-                    vm + " is out of the roster",
-                    () -> fleet.change("new-1", r -> r.setRemoveVm(gone)).getVersion() > 0);
+                    vm + " is removed from the roster",
+                    () -> fleet.change("new-1", r -> r.setRemoveVm(removal)).getVersion() > 0);
         }
-        Await.until("new-1 serves", () -> served("new-1", key));
-        Await.until("new-2 serves", () -> served("new-2", key));
+        Await.until("new-1 serves", () -> isServed("new-1", key));
+        Await.until("new-2 serves", () -> isServed("new-2", key));
     }
 
     @Test
-    void aVmThatIsGoneForGoodLeavesTheRoster() throws Exception {
+    void removedVmLeavesTheRoster() throws Exception {
         fleet.daemons.remove("vm-3").kill();
-        ChangeAnswer answer = fleet.change(r -> r.setRemoveVm(RemoveVm.newBuilder().setVm("vm-3")));
-        assertThat(answer.getInForce()).isTrue();
+        ChangeAnswer response =
+                fleet.change(r -> r.setRemoveVm(RemoveVm.newBuilder().setVm("vm-3")));
+        assertThat(response.getInForce()).isTrue();
         Await.until(
-                "the roster has two",
+                "the roster has two entries",
                 () -> fleet.daemons.get("vm-2").view().catalog().roster().size() == 2);
     }
 }
--- a/daemon/src/test/java/org/bronzelug/daemon/CuttableLink.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/CuttableLink.java
@@ -11,13 +11,13 @@
 
 /**
  * A TCP forwarder that a test can cut (open connections break, new ones fail) or silence (open
- * connections stay, but nothing passes until it is healed). Thread-safe.
+ * connections stay, but no bytes pass until the link is healed). Thread-safe.
  */
 final class CuttableLink implements AutoCloseable {
     private final ServerSocket listener;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private volatile int targetPort;
-    private final Object passage = new Object();
+    private final Object silenceLock = new Object();
     private volatile boolean cut;
     private boolean silent;
 
@@ -40,28 +40,31 @@
         sockets.clear();
     }
 
-    /** Lets nothing through, but breaks nothing: a frozen VM, or a network that drops all. */
+    /**
+     * Stops forwarding without closing a connection, as a frozen VM or a network that drops all
+     * packets would.
+     */
     void silence() {
-        synchronized (passage) {
+        synchronized (silenceLock) {
             silent = true;
         }
     }
 
     void heal() {
         cut = false;
-        synchronized (passage) {
+        synchronized (silenceLock) {
             silent = false;
-            passage.notifyAll();
+            silenceLock.notifyAll();
         }
     }
 
-    private void awaitPassage() throws IOException {
-        synchronized (passage) {
+    private void awaitEndOfSilence() throws IOException {
+        synchronized (silenceLock) {
             while (silent) {
                 try {
-                    passage.wait();
-                } catch (InterruptedException stopped) {
-                    throw new IOException("interrupted", stopped);
+                    silenceLock.wait();
+                } catch (InterruptedException interrupted) {
+                    throw new IOException("interrupted", interrupted);
                 }
             }
         }
@@ -71,14 +74,14 @@
         try {
             while (true) {
                 Socket incoming = listener.accept();
-                Thread.ofVirtual().start(() -> connect(incoming));
+                Thread.ofVirtual().start(() -> openConnection(incoming));
             }
         } catch (IOException closed) {
             cut();
         }
     }
 
-    private void connect(Socket incoming) {
+    private void openConnection(Socket incoming) {
         if (cut) {
             closeQuietly(incoming);
             return;
@@ -88,25 +91,26 @@
             sockets.add(incoming);
             sockets.add(outgoing);
             if (cut) {
-                // The cut came while this connection was opened, and did not find it.
+                // The link was cut before this connection was in the set, so cut() did not close
+                // it.
                 closeQuietly(incoming);
                 closeQuietly(outgoing);
                 return;
             }
-            Thread.ofVirtual().start(() -> pump(incoming, outgoing));
-            Thread.ofVirtual().start(() -> pump(outgoing, incoming));
+            Thread.ofVirtual().start(() -> forward(incoming, outgoing));
+            Thread.ofVirtual().start(() -> forward(outgoing, incoming));
         } catch (IOException unreachable) {
             closeQuietly(incoming);
         }
     }
 
-    private void pump(Socket from, Socket to) {
+    private void forward(Socket from, Socket to) {
         try {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
             byte[] buffer = new byte[16_384];
             for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
-                awaitPassage();
+                awaitEndOfSilence();
                 out.write(buffer, 0, count);
                 out.flush();
             }
@@ -124,7 +128,7 @@
         try {
             socket.close();
         } catch (IOException alreadyClosed) {
-            // Nothing is left to free.
+            // There is nothing left to close.
         }
     }
 
--- a/daemon/src/test/java/org/bronzelug/daemon/CuttableLinkTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/CuttableLinkTest.java
@@ -11,43 +11,47 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Guards against a connection that outlives the cut of its link, so that a test sees no cut. */
+/**
+ * Guards against a connection that is opened while its link is cut and stays open, so that a test
+ * runs without the failure that it needs.
+ */
 class CuttableLinkTest {
     private static final int CUTS = 60;
     private static final int CONNECTIONS = 20;
-    private static final int LEFT_MILLIS = 2_000;
+    private static final int READ_TIMEOUT_MILLIS = 2_000;
 
     @Test
-    void noConnectionOutlivesACut() throws Exception {
+    void everyConnectionIsClosedWhenTheLinkIsCut() throws Exception {
         try (ServerSocket target = new ServerSocket(0, 4_000, InetAddress.getLoopbackAddress())) {
-            for (int cuts = 0; cuts < CUTS; cuts++) {
+            for (int cut = 0; cut < CUTS; cut++) {
                 try (CuttableLink link = new CuttableLink()) {
                     link.connectTo(target.getLocalPort());
-                    List<Socket> opened = open(link, cuts);
+                    List<Socket> opened = openConnections(link, cut);
                     link.cut();
                     for (Socket socket : opened) {
-                        assertThat(isEnded(socket)).isTrue();
+                        assertThat(isClosed(socket)).isTrue();
                     }
                 }
             }
         }
     }
 
-    private static List<Socket> open(CuttableLink link, int pauseMicros) throws Exception {
+    private static List<Socket> openConnections(CuttableLink link, int pauseSteps)
+            throws Exception {
         List<Socket> opened = new ArrayList<>();
         int port = Integer.parseInt(link.address().split(":")[1]);
         for (int index = 0; index < CONNECTIONS; index++) {
             opened.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
-        Thread.sleep(0, pauseMicros * 10_000);
+        Thread.sleep(0, pauseSteps * 10_000);
         return opened;
     }
 
-    private static boolean isEnded(Socket socket) throws IOException {
+    private static boolean isClosed(Socket socket) throws IOException {
         try (socket) {
-            socket.setSoTimeout(LEFT_MILLIS);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             return socket.getInputStream().read() < 0;
-        } catch (SocketTimeoutException open) {
+        } catch (SocketTimeoutException stillOpen) {
             return false;
         } catch (IOException reset) {
             return true;
--- a/daemon/src/test/java/org/bronzelug/daemon/DrainTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/DrainTest.java
@@ -14,11 +14,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A graceful stop cuts no request.
- *
- * <p>What the caller would see: a stream that breaks off in the middle of a rolling restart. The
- * order: the stream runs, the VM is told to stop, new callers are steered elsewhere, the stream
- * ends, the VM stops. Why: a stop that does not wait ends the stream with the process.
+ * Guards against a stream that breaks during a rolling restart, because the process of its VM stops
+ * without waiting for open requests. A VM that stops gracefully must first steer new callers to
+ * other VMs and complete its open streams.
  */
 class DrainTest {
     @TempDir Path folder;
@@ -37,7 +35,7 @@
     }
 
     @Test
-    void aStreamInProgressEndsWholeAndCallersAreSteeredAway() throws Exception {
+    void streamInProgressCompletesAndNewCallersAreSteeredToAnotherVm() throws Exception {
         Iterator<GenerateEvent> events =
                 fleet.router("vm-1", key).generate(TestFleet.prompt("long", 400));
         events.next();
@@ -54,8 +52,8 @@
         Await.until(
                 "vm-2 steers callers away from vm-1",
                 () -> fleet.locate("vm-2", key).getVms(0).getVm().equals("vm-2"));
-        LocateAnswer answer = fleet.locate("vm-2", key);
-        assertThat(answer.getVms(0).getVm()).isEqualTo("vm-2");
+        LocateAnswer response = fleet.locate("vm-2", key);
+        assertThat(response.getVms(0).getVm()).isEqualTo("vm-2");
         TestFleet.Received received = TestFleet.receive(events);
         assertThat(received.offsets()).hasSize(399);
         assertThat(received.last().hasFinished()).isTrue();
@@ -63,21 +61,22 @@
     }
 
     /**
-     * A VM stops while its control thread writes its entry of the roster. The server that is asked
-     * for its port has ended; the round fails, and peers keep the entry of before.
+     * Guards against a VM whose roster entry is not updated: the VM stops while its control thread
+     * writes the entry, and a stopped server can't report its port, so the write fails and the
+     * peers keep the old entry.
      */
     @Test
-    void aStoppedVmStillKnowsItsAddress() throws Exception {
+    void addressIsAvailableAfterStop() throws Exception {
         Daemon stopping = fleet.daemons.get("vm-1");
         CallerServer server =
                 stopping.kernel().find(CallerServer.NAME, CallerServer.class).orElseThrow();
-        String before = server.address();
+        String addressBeforeStop = server.address();
         stopping.stop();
-        assertThat(server.address()).isEqualTo(before);
+        assertThat(server.address()).isEqualTo(addressBeforeStop);
     }
 
     @Test
-    void aNewRequestAtAStoppingVmIsRefusedAsNotRun() throws Exception {
+    void newRequestAtStoppingVmIsRejectedAndOpenStreamCompletes() throws Exception {
         Iterator<GenerateEvent> events =
                 fleet.router("vm-1", key).generate(TestFleet.prompt("long", 600));
         events.next();
@@ -92,7 +91,7 @@
                             }
                         });
         Await.until(
-                "vm-1 refuses new requests",
+                "vm-1 rejects new requests",
                 () ->
                         TestFleet.receive(router.generate(TestFleet.prompt("new", 1)))
                                 .last()
--- a/daemon/src/test/java/org/bronzelug/daemon/EndpointFailureTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/EndpointFailureTest.java
@@ -14,11 +14,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Leaving endpoints get no new work, and a pool's orders come from one VM at a time.
- *
- * <p>What the partner would see: requests at an endpoint that left, or weights loaded twice in
- * turns. The order: the operator declares it, and some VM has not heard; or the VM that gives the
- * orders dies between two of them.
+ * Guards against new requests at an endpoint that is leaving, because some VM has not received the
+ * change; and against conflicting orders to load weights, because the VM that gives a pool's orders
+ * dies or is cut off and another VM takes ownership. Only one VM at a time gives a pool's orders.
  */
 class EndpointFailureTest {
     @TempDir Path folder;
@@ -36,7 +34,7 @@
         fleet.close();
     }
 
-    private void serveAtEveryVm(String id) {
+    private void sendRequestsToEveryVm(String id) {
         for (String vm : fleet.daemons.keySet()) {
             for (int number = 0; number < 8; number++) {
                 var prompt =
@@ -50,12 +48,12 @@
     }
 
     @Test
-    void aLeavingEndpointGetsNoNewWorkAnywhere() throws Exception {
-        serveAtEveryVm("before");
+    void leavingEndpointGetsNoNewRequestFromAnyVm() throws Exception {
+        sendRequestsToEveryVm("before");
         assertThat(fleet.models.get(0).log()).isNotEmpty();
-        assertThat(fleet.leave("model-1").getInForce()).isTrue();
+        assertThat(fleet.leaveEndpoint("model-1").getInForce()).isTrue();
         Await.until(
-                "all VMs have it in force",
+                "all VMs have the same configuration",
                 () ->
                         fleet.daemons.values().stream()
                                 .allMatch(
@@ -63,22 +61,22 @@
                                                 daemon.digest()
                                                         == fleet.daemons.get("vm-1").digest()));
         int served = fleet.models.get(0).log().size();
-        serveAtEveryVm("after");
+        sendRequestsToEveryVm("after");
         assertThat(fleet.models.get(0).log()).hasSize(served);
     }
 
     private boolean allLoaded(long weights) {
         return fleet.models.stream()
-                .allMatch(runner -> lastOrder(runner).equals(Long.toString(weights)));
+                .allMatch(runner -> lastOrderedVersion(runner).equals(Long.toString(weights)));
     }
 
-    private static String lastOrder(ModelRunnerStandin runner) {
+    private static String lastOrderedVersion(ModelRunnerStandin runner) {
         List<String> orders =
                 runner.log().stream().filter(line -> line.startsWith("order ")).toList();
         return orders.isEmpty() ? "" : orders.get(orders.size() - 1).split(" ")[2];
     }
 
-    private void order(long weights) {
+    private void publishWeights(long weights) {
         fleet.change(
                 r ->
                         r.setOrderWeights(
@@ -88,8 +86,8 @@
     }
 
     @Test
-    void allRunnersLoadTheOrderedWeightsOnce() throws Exception {
-        order(2);
+    void everyRunnerLoadsPublishedWeightsOnceWithinTheConcurrencyLimit() throws Exception {
+        publishWeights(2);
         Await.until("all have loaded", () -> allLoaded(2));
         for (ModelRunnerStandin runner : fleet.models) {
             long orders = runner.log().stream().filter(l -> l.startsWith("order ")).count();
@@ -99,21 +97,21 @@
     }
 
     /**
-     * The holder is out of the others' reach and of the platform's, so another takes over and gives
-     * a new order; then it is back. Also endpoints that ignore fencing numbers must not see its old
-     * order again.
+     * Guards against an outdated order: the holder is cut off from the platform and its peers,
+     * another VM takes ownership and gives a new order, then the previous holder reconnects. Its
+     * old order must not be repeated, even to endpoints that ignore fencing numbers.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aFormerHolderThatComesBackGivesNoOldOrder(boolean checksFencing) throws Exception {
+    void previousHolderThatReconnectsGivesNoOutdatedOrder(boolean checksFencing) throws Exception {
         fleet.models.forEach(runner -> runner.setChecksFencing(checksFencing));
-        order(2);
+        publishWeights(2);
         Await.until("all have loaded", () -> allLoaded(2));
-        String former = holder("vm-1");
-        cutOff(former, true);
+        String previousHolder = holder("vm-1");
+        setCutOff(previousHolder, true);
         String survivor =
                 fleet.daemons.keySet().stream()
-                        .filter(vm -> !vm.equals(former))
+                        .filter(vm -> !vm.equals(previousHolder))
                         .findFirst()
                         .orElseThrow();
         fleet.change(
@@ -124,15 +122,15 @@
                                         .setPool(TestFleet.MODEL_POOL)
                                         .setWeightsVersion(3)));
         Await.until("all have loaded again", () -> allLoaded(3));
-        cutOff(former, false);
+        setCutOff(previousHolder, false);
         Await.until(
-                "the former holder knows the next one",
-                () -> holder(former).equals(holder(survivor)));
+                "the previous holder knows the new one",
+                () -> holder(previousHolder).equals(holder(survivor)));
         for (ModelRunnerStandin runner : fleet.models) {
             List<String> orders =
                     runner.log().stream().filter(line -> line.startsWith("order ")).toList();
             assertThat(orders).hasSize(2);
-            assertThat(lastOrder(runner)).isEqualTo("3");
+            assertThat(lastOrderedVersion(runner)).isEqualTo("3");
         }
     }
 
@@ -147,8 +145,8 @@
                 .vm();
     }
 
-    /** Cuts a VM off from the platform, and the others from it, or heals it. */
-    private void cutOff(String vm, boolean cut) {
+    /** Cuts a VM's link to the platform and its inbound peer links, or heals them. */
+    private void setCutOff(String vm, boolean cut) {
         if (cut) {
             fleet.peerLinks.get(vm).cut();
             fleet.platformLinks.get(vm).cut();
@@ -158,10 +156,13 @@
         }
     }
 
-    /** The holder dies; the next one waits until it has surely stopped, with a higher number. */
+    /**
+     * Guards against orders of two holders at once: the holder dies, and the next one must wait
+     * until the previous one has certainly stopped, then give orders with a higher fencing number.
+     */
     @Test
-    void theNextHolderGoesOnWithAHigherFencingNumber() throws Exception {
-        order(2);
+    void nextHolderGivesOrdersWithHigherFencingNumber() throws Exception {
+        publishWeights(2);
         Await.until("all have loaded", () -> allLoaded(2));
         String holder = holder("vm-1");
         fleet.daemons.remove(holder).kill();
--- a/daemon/src/test/java/org/bronzelug/daemon/KeyFailureTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/KeyFailureTest.java
@@ -15,11 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A request runs only for its key's team, the key is seen nowhere, and a withdrawn one is refused.
- *
- * <p>What the operator would see: a withdrawn key still works at the one VM that was cut off, or at
- * a connection opened before. The order: the caller connects, the key is withdrawn, the caller asks
- * again. Why: a VM that can't hear of the withdrawal goes on as before.
+ * Guards against a withdrawn key that still works on a connection opened before, or at a VM that is
+ * cut off and can't receive the withdrawal; against a request that runs for another team than its
+ * key's; and against a key that appears in logs, metrics or stored objects.
  */
 class KeyFailureTest {
     @TempDir Path folder;
@@ -43,43 +41,49 @@
     }
 
     private static String outcome(RouterGrpc.RouterBlockingStub router) {
-        GenerateEvent last = TestFleet.receive(router.generate(TestFleet.prompt("r", 2))).last();
-        return last.hasFinished() ? "served" : last.getProblem().getCode();
+        GenerateEvent lastEvent =
+                TestFleet.receive(router.generate(TestFleet.prompt("r", 2))).last();
+        return lastEvent.hasFinished() ? "served" : lastEvent.getProblem().getCode();
     }
 
     @Test
-    void aWithdrawnKeyIsRefusedEverywhereOnOpenConnectionsToo() throws Exception {
-        RouterGrpc.RouterBlockingStub open1 = fleet.router("vm-1", key);
-        RouterGrpc.RouterBlockingStub open3 = fleet.router("vm-3", key);
-        assertThat(outcome(open1)).isEqualTo("served");
-        assertThat(outcome(open3)).isEqualTo("served");
-        assertThat(fleet.withdraw(TestFleet.TEAM, "first").getInForce()).isTrue();
-        Await.until("vm-1 refuses", () -> outcome(open1).equals("KEY_REFUSED"));
-        Await.until("vm-3 refuses", () -> outcome(open3).equals("KEY_REFUSED"));
+    void withdrawnKeyIsRejectedByAllVmsAlsoOnOpenConnections() throws Exception {
+        RouterGrpc.RouterBlockingStub openAtVm1 = fleet.router("vm-1", key);
+        RouterGrpc.RouterBlockingStub openAtVm3 = fleet.router("vm-3", key);
+        assertThat(outcome(openAtVm1)).isEqualTo("served");
+        assertThat(outcome(openAtVm3)).isEqualTo("served");
+        assertThat(fleet.withdrawKey(TestFleet.TEAM, "first").getInForce()).isTrue();
+        Await.until("vm-1 rejects the key", () -> outcome(openAtVm1).equals("KEY_REFUSED"));
+        Await.until("vm-3 rejects the key", () -> outcome(openAtVm3).equals("KEY_REFUSED"));
         assertThat(outcome(fleet.router("vm-2", key))).isEqualTo("KEY_REFUSED");
     }
 
-    /** The VM that can hear neither platform nor peers serves nobody once its knowledge is old. */
+    /**
+     * Guards against a VM that serves a withdrawn key: it can reach neither the platform nor its
+     * peers, so it must reject all requests once its configuration is too old.
+     */
     @Test
-    void aVmThatIsCutOffServesNobody() throws Exception {
-        RouterGrpc.RouterBlockingStub open = fleet.router("vm-3", key);
-        assertThat(outcome(open)).isEqualTo("served");
+    void vmThatIsCutOffRejectsAllRequests() throws Exception {
+        RouterGrpc.RouterBlockingStub openConnection = fleet.router("vm-3", key);
+        assertThat(outcome(openConnection)).isEqualTo("served");
         fleet.platformLinks.get("vm-3").cut();
         fleet.peerLinks.values().forEach(CuttableLink::cut);
-        fleet.withdraw(TestFleet.TEAM, "first");
-        Await.until("vm-3 refuses", () -> outcome(open).equals("NOT_FRESH"));
+        fleet.withdrawKey(TestFleet.TEAM, "first");
+        Await.until("vm-3 rejects requests", () -> outcome(openConnection).equals("NOT_FRESH"));
         fleet.platformLinks.get("vm-3").heal();
-        Await.until("vm-3 knows", () -> outcome(open).equals("KEY_REFUSED"));
+        Await.until(
+                "vm-3 has received the withdrawal",
+                () -> outcome(openConnection).equals("KEY_REFUSED"));
     }
 
     @Test
-    void anUnknownKeyIsRefusedAndAnotherTeamsKeyNamesItsOwnTeam() throws Exception {
+    void unknownKeyIsRejectedAndEachTeamHasItsOwnCacheSalt() throws Exception {
         assertThat(outcome(fleet.router("vm-1", "blk_guess"))).isEqualTo("KEY_REFUSED");
         fleet.change(r -> r.setSetTeam(TestFleet.team("other", 1_000, 1_000)));
-        String other = fleet.issueKey("other", "first");
+        String otherKey = fleet.issueKey("other", "first");
         assertThat(outcome(fleet.router("vm-1", key))).isEqualTo("served");
-        assertThat(outcome(fleet.router("vm-1", other))).isEqualTo("served");
-        // The runner keeps the teams' blocks apart by salts that it can't tell the teams from.
+        assertThat(outcome(fleet.router("vm-1", otherKey))).isEqualTo("served");
+        // The runner separates the teams' cached blocks by salts, which do not reveal the teams.
         long salts =
                 fleet.models.get(0).log().stream()
                         .map(line -> line.substring(line.lastIndexOf(' ')))
@@ -89,18 +93,18 @@
     }
 
     @Test
-    void noEndpointLogMetricOrObjectHoldsAKey() throws Exception {
+    void keyAppearsInNoEndpointLogMetricOrStoredObject() throws Exception {
         assertThat(outcome(fleet.router("vm-1", key))).isEqualTo("served");
-        fleet.act("vm-2", key, fleet.refund("vm-1", key, "s1"));
+        fleet.runAction("vm-2", key, fleet.refundRequest("vm-1", key, "s1"));
         outcome(fleet.router("vm-1", key + "x"));
         assertThat(fleet.models.get(0).log().toString()).doesNotContain(key);
         assertThat(fleet.applications.get(0).log().toString()).doesNotContain(key);
-        StringBuilder seen = new StringBuilder();
-        log.list.forEach(event -> seen.append(event.getFormattedMessage()).append('\n'));
-        seen.append(fleet.metrics("vm-1"));
-        seen.append(TestFleet.read(fleet.platform.url() + "/v1/objects"));
-        assertThat(seen.toString()).contains("daemon started");
-        assertThat(seen.toString()).doesNotContain(key);
-        assertThat(seen.toString()).doesNotContain(key.substring(4, 30));
+        StringBuilder output = new StringBuilder();
+        log.list.forEach(event -> output.append(event.getFormattedMessage()).append('\n'));
+        output.append(fleet.metrics("vm-1"));
+        output.append(TestFleet.read(fleet.platform.url() + "/v1/objects"));
+        assertThat(output.toString()).contains("daemon started");
+        assertThat(output.toString()).doesNotContain(key);
+        assertThat(output.toString()).doesNotContain(key.substring(4, 30));
     }
 }
--- a/daemon/src/test/java/org/bronzelug/daemon/PagesTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/PagesTest.java
@@ -16,7 +16,10 @@
 import org.bronzelug.log.LogEvent;
 import org.junit.jupiter.api.Test;
 
-/** The pages say what the code does. */
+/**
+ * Guards against documentation that differs from the code: an event, a setting or a problem code is
+ * added, renamed or changed, and its page is not.
+ */
 class PagesTest {
     private static final Path ROOT = Path.of(System.getProperty("bronzelug.root"));
 
@@ -34,7 +37,7 @@
     }
 
     @Test
-    void theCatalogueHasExactlyTheEventsOfTheCode() throws Exception {
+    void eventsPageListsExactlyTheLogEvents() throws Exception {
         List<String> expected = new ArrayList<>();
         for (LogEvent event : LogEvent.values()) {
             expected.add(event.number() + " | " + event.name());
@@ -44,7 +47,7 @@
     }
 
     @Test
-    void everyEventIsLoggedSomewhere() throws Exception {
+    void everyLogEventIsUsedInTheCode() throws Exception {
         StringBuilder sources = new StringBuilder();
         for (String module : List.of("daemon", "router", "platform")) {
             try (var files = Files.walk(ROOT.resolve(module + "/src/main/java"))) {
@@ -59,20 +62,20 @@
     }
 
     @Test
-    void theSettingsPageHasExactlyTheLimitsOfTheCode() throws Exception {
+    void settingsPageListsExactlyTheLimitFields() throws Exception {
         List<String> expected = new ArrayList<>();
         for (LimitField field : LimitField.values()) {
             expected.add(
                     String.format(
                             "`limits.%s` | %,d–%,d; %,d",
-                            field.fieldName(), field.least(), field.most(), field.usual()));
+                            field.fieldName(), field.minimum(), field.maximum(), field.usual()));
         }
         assertThat(matches("^\\| (`limits\\.\\w+` \\| [\\d,–; ]+) \\|", page("SETTINGS.md")))
                 .containsExactlyElementsIn(expected);
     }
 
     @Test
-    void theSettingsPageNamesEveryOtherField() throws Exception {
+    void settingsPageListsEveryOtherField() throws Exception {
         String page = page("SETTINGS.md");
         for (RecordComponent field : Settings.class.getRecordComponents()) {
             if (!field.getType().isRecord()) {
@@ -86,7 +89,7 @@
     }
 
     @Test
-    void theSchemaPageExplainsEveryProblemCode() throws Exception {
+    void schemaPageContainsEveryProblemCode() throws Exception {
         String page = page("SCHEMA.md");
         for (ProblemCode code : ProblemCode.values()) {
             assertThat(page).contains(code.name());
--- a/daemon/src/test/java/org/bronzelug/daemon/RateFailureTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/RateFailureTest.java
@@ -17,10 +17,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A team's rate and burst hold over all VMs together.
- *
- * <p>What the other teams would see: a team that asks through every VM, or whose rate moves from a
- * dead VM to another, gets its burst several times. Why: each VM counts for itself.
+ * Guards against a team that gets its burst several times, because each VM counts only its own
+ * requests: the team sends requests through every VM, or the VM that holds its rate dies and
+ * another one takes ownership. A team's rate and burst hold across all VMs.
  */
 class RateFailureTest {
     private static final int PROMPT_TOKENS = 10;
@@ -34,7 +33,7 @@
     void start() throws Exception {
         fleet = new TestFleet(folder).startDaemons(3);
         fleet.setUp(1, 0);
-        // Next to no rate: what is admitted is the burst, whatever the time it takes.
+        // The rate is almost 0, so only the burst is admitted, however long the test takes.
         fleet.change(r -> r.setSetTeam(TestFleet.team("small", 0.0001, BURST)));
         key = fleet.issueKey("small", "first");
     }
@@ -55,12 +54,13 @@
     }
 
     private String outcome(String vm, String id) {
-        GenerateEvent last = TestFleet.receive(fleet.router(vm, key).generate(request(id))).last();
-        return last.hasFinished() ? "served" : last.getProblem().getCode();
+        GenerateEvent lastEvent =
+                TestFleet.receive(fleet.router(vm, key).generate(request(id))).last();
+        return lastEvent.hasFinished() ? "served" : lastEvent.getProblem().getCode();
     }
 
     @Test
-    void theBurstIsAdmittedOnceThroughAllVmsTogether() throws Exception {
+    void burstIsAdmittedOnceAcrossAllVms() throws Exception {
         List<CompletableFuture<String>> outcomes = new ArrayList<>();
         try (ExecutorService callers = Executors.newVirtualThreadPerTaskExecutor()) {
             for (int number = 0; number < 30; number++) {
@@ -69,26 +69,33 @@
                 outcomes.add(CompletableFuture.supplyAsync(() -> outcome(vm, id), callers));
             }
         }
-        List<String> ended = outcomes.stream().map(CompletableFuture::join).toList();
-        assertThat(ended.stream().filter("served"::equals).count()).isEqualTo(BURST / 20);
-        assertThat(ended.stream().filter("EXCEEDS_BURST"::equals).count()).isEqualTo(0);
-        assertThat(ended.stream().filter("OVER_RATE"::equals).count()).isEqualTo(30 - BURST / 20);
+        List<String> results = outcomes.stream().map(CompletableFuture::join).toList();
+        assertThat(results.stream().filter("served"::equals).count()).isEqualTo(BURST / 20);
+        assertThat(results.stream().filter("EXCEEDS_BURST"::equals).count()).isEqualTo(0);
+        assertThat(results.stream().filter("OVER_RATE"::equals).count()).isEqualTo(30 - BURST / 20);
     }
 
-    /** A platform outage alone refuses nobody: the holder goes on. */
+    /**
+     * Guards against rejections during a platform outage: the holder of the team's rate must
+     * continue to admit requests.
+     */
     @Test
-    void anOutageRefusesNothingWithinTheRate() throws Exception {
+    void platformOutageRejectsNothingWithinTheRate() throws Exception {
         assertThat(outcome("vm-1", "before")).isEqualTo("served");
         fleet.platform.setFaults(true, 0, 0);
-        Await.until("the outage is noticed", () -> !fleet.daemons.get("vm-1").isPlatformUp());
+        Await.until(
+                "vm-1 has detected the outage", () -> !fleet.daemons.get("vm-1").isPlatformUp());
         assertThat(outcome("vm-1", "during-1")).isEqualTo("served");
         assertThat(outcome("vm-2", "during-2")).isEqualTo("served");
         assertThat(outcome("vm-3", "during-3")).isEqualTo("served");
     }
 
-    /** The holder dies with its tokens: the next one starts empty, so nothing comes twice. */
+    /**
+     * Guards against a burst that is admitted twice: the holder dies and its token count is lost,
+     * so the next holder must start without tokens.
+     */
     @Test
-    void aTakeOverNeverAdmitsTheBurstAgain() throws Exception {
+    void newHolderAfterCrashDoesNotAdmitTheBurstAgain() throws Exception {
         for (int number = 0; number < 5; number++) {
             assertThat(outcome("vm-1", "first-" + number)).isEqualTo("served");
         }
@@ -97,19 +104,22 @@
         assertThat(outcome(survivor, "after")).isEqualTo("OVER_RATE");
     }
 
-    /** A graceful stop hands the tokens over: what is left is neither lost nor doubled. */
+    /**
+     * Guards against remaining tokens that are lost or counted twice when the holder stops
+     * gracefully and transfers them to its successor.
+     */
     @Test
-    void aGracefulStopKeepsExactlyTheTokensLeft() throws Exception {
+    void gracefulStopTransfersExactlyTheRemainingTokens() throws Exception {
         for (int number = 0; number < 4; number++) {
             assertThat(outcome("vm-1", "first-" + number)).isEqualTo("served");
         }
         fleet.daemons.remove(holder()).stop();
         String survivor = fleet.daemons.keySet().iterator().next();
-        int served = 0;
-        while (outcome(survivor, "rest-" + served).equals("served")) {
-            served++;
+        int servedCount = 0;
+        while (outcome(survivor, "rest-" + servedCount).equals("served")) {
+            servedCount++;
         }
-        assertThat(served).isEqualTo(BURST / 20 - 4);
+        assertThat(servedCount).isEqualTo(BURST / 20 - 4);
     }
 
     private String holder() {
--- a/daemon/src/test/java/org/bronzelug/daemon/StreamFailureTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/StreamFailureTest.java
@@ -18,27 +18,25 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A stream arrives whole and in order whatever becomes of its runner.
- *
- * <p>What the caller would see: an answer that ends in the middle, or says a word twice. The order:
- * the runner is cut, crashes or freezes at some chunk, and the stream goes on at another. Why: the
- * second runner must start exactly where the first was last heard.
+ * Guards against a stream that ends early or repeats text. This happens when its runner is cut,
+ * crashes or freezes at some chunk, and the runner that continues the stream does not start exactly
+ * after the last chunk received from the first one.
  */
 class StreamFailureTest {
     private static final int CHUNKS = 150;
-    private static final List<Integer> ALL = IntStream.range(0, CHUNKS).boxed().toList();
+    private static final List<Integer> ALL_OFFSETS = IntStream.range(0, CHUNKS).boxed().toList();
 
     @TempDir Path folder;
     private TestFleet fleet;
     private String key;
-    private String whole;
+    private String completeText;
 
     @BeforeEach
     void start() throws Exception {
         fleet = new TestFleet(folder).startDaemons(1);
         key = fleet.setUp(2, 0);
-        whole = TestFleet.receive(generate("reference", CHUNKS)).text();
-        assertThat(whole).isNotEmpty();
+        completeText = TestFleet.receive(generate("reference", CHUNKS)).text();
+        assertThat(completeText).isNotEmpty();
     }
 
     @AfterEach
@@ -50,46 +48,48 @@
         return fleet.router("vm-1", key).generate(TestFleet.prompt(id, chunks));
     }
 
-    private void assertWhole(TestFleet.Received received) {
-        assertThat(received.offsets()).isEqualTo(ALL);
-        assertThat(received.text()).isEqualTo(whole);
+    private void assertComplete(TestFleet.Received received) {
+        assertThat(received.offsets()).isEqualTo(ALL_OFFSETS);
+        assertThat(received.text()).isEqualTo(completeText);
         assertThat(received.last().hasFinished()).isTrue();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 75, 149})
-    void isWholeWhenItsRunnerIsCutAtAnyChunk(int offset) throws Exception {
+    void streamIsCompleteWhenItsRunnerIsCutAtAChunk(int offset) throws Exception {
         Iterator<GenerateEvent> events = generate("cut", CHUNKS);
         ModelRunnerStandin runner = preferredRunner();
         runner.cutAt(offset);
-        assertWhole(TestFleet.receive(generate("cut-again", CHUNKS)));
-        assertThat(TestFleet.receive(events).text()).isEqualTo(whole);
+        assertComplete(TestFleet.receive(generate("cut-again", CHUNKS)));
+        assertThat(TestFleet.receive(events).text()).isEqualTo(completeText);
         assertThat(runner.log().toString()).contains("cut-again");
     }
 
-    /** Each chunk of a short stream, one after another: the runner that has the prefix is cut. */
+    /** Cuts one of the two runners at each chunk of a short stream, one chunk after another. */
     @Test
-    void isWholeWhenItsRunnerIsCutAtEachChunk() {
+    void streamIsCompleteForEachChunkAtWhichARunnerIsCut() {
         int chunks = 16;
-        String wholeShort = TestFleet.receive(generate("short", chunks)).text();
-        int moved = 0;
+        String completeShortText = TestFleet.receive(generate("short", chunks)).text();
+        int movedStreams = 0;
         for (int offset = 0; offset < chunks; offset++) {
-            ModelRunnerStandin first = fleet.models.get(offset % 2);
-            first.cutAt(offset);
+            ModelRunnerStandin cutRunner = fleet.models.get(offset % 2);
+            cutRunner.cutAt(offset);
             for (int stream = 0; stream < 2; stream++) {
                 TestFleet.Received received =
                         TestFleet.receive(generate("each-" + offset + "-" + stream, chunks));
                 assertThat(received.offsets())
                         .isEqualTo(IntStream.range(0, chunks).boxed().toList());
-                assertThat(received.text()).isEqualTo(wholeShort);
-                moved += received.last().getFinished().getAttempts() > 1 ? 1 : 0;
+                assertThat(received.text()).isEqualTo(completeShortText);
+                movedStreams += received.last().getFinished().getAttempts() > 1 ? 1 : 0;
             }
-            first.cutAt(-1);
+            cutRunner.cutAt(-1);
         }
-        assertThat(moved).isGreaterThan(0);
+        assertThat(movedStreams).isGreaterThan(0);
     }
 
-    /** The runner that got the reference stream: the prompt's next stream goes there as well. */
+    /**
+     * Returns the runner of the reference stream, which also gets the next stream of the prompt.
+     */
     private ModelRunnerStandin preferredRunner() {
         return fleet.models.stream()
                 .filter(runner -> runner.log().toString().contains("reference"))
@@ -98,54 +98,57 @@
     }
 
     @Test
-    void isWholeWhenItsRunnerCrashesAndComesBackEmpty() throws Exception {
+    void streamIsCompleteWhenItsRunnerCrashesAndRestartsEmpty() throws Exception {
         Iterator<GenerateEvent> events = generate("crash", CHUNKS);
         assertThat(events.next().getChunk().getOffset()).isEqualTo(0);
         preferredRunner().crash();
         TestFleet.Received rest = TestFleet.receive(events);
-        assertThat(rest.offsets()).isEqualTo(ALL.subList(1, CHUNKS));
-        assertThat(whole).endsWith(rest.text());
+        assertThat(rest.offsets()).isEqualTo(ALL_OFFSETS.subList(1, CHUNKS));
+        assertThat(completeText).endsWith(rest.text());
         assertThat(rest.last().getFinished().getAttempts()).isAtLeast(2);
     }
 
     @Test
-    void isWholeWhenItsRunnerFreezesAndWakesLater() throws Exception {
+    void streamIsCompleteWhenItsRunnerFreezesAndResumesLater() throws Exception {
         Iterator<GenerateEvent> events = generate("freeze", CHUNKS);
         events.next();
         preferredRunner().freeze(2_500);
         TestFleet.Received rest = TestFleet.receive(events);
-        assertThat(rest.offsets()).isEqualTo(ALL.subList(1, CHUNKS));
+        assertThat(rest.offsets()).isEqualTo(ALL_OFFSETS.subList(1, CHUNKS));
         assertThat(rest.last().getFinished().getAttempts()).isAtLeast(2);
     }
 
     @Test
-    void isWholeWhenThePartnerTakesAllEndpointsButOne() throws Exception {
+    void streamIsCompleteWhenItsRunnerLeavesAndOneRunnerIsLeft() throws Exception {
         Iterator<GenerateEvent> events = generate("partner", CHUNKS);
         events.next();
-        ModelRunnerStandin gone = preferredRunner();
-        String name = "model-" + (fleet.models.indexOf(gone) + 1);
-        assertThat(fleet.leave(name).getInForce()).isTrue();
-        gone.stop();
+        ModelRunnerStandin leavingRunner = preferredRunner();
+        String name = "model-" + (fleet.models.indexOf(leavingRunner) + 1);
+        assertThat(fleet.leaveEndpoint(name).getInForce()).isTrue();
+        leavingRunner.stop();
         TestFleet.Received rest = TestFleet.receive(events);
-        assertThat(rest.offsets()).isEqualTo(ALL.subList(1, CHUNKS));
-        assertWhole(TestFleet.receive(generate("after", CHUNKS)));
+        assertThat(rest.offsets()).isEqualTo(ALL_OFFSETS.subList(1, CHUNKS));
+        assertComplete(TestFleet.receive(generate("after", CHUNKS)));
     }
 
     @Test
-    void goesOnAtTheChunkThatTheCallerNames() throws Exception {
+    void streamStartsAtTheRequestedOffset() throws Exception {
         GenerateRequest resumed =
                 TestFleet.prompt("resumed", CHUNKS).toBuilder()
                         .setStartOffset(5)
                         .setTextSoFar("whatever came before")
                         .build();
         TestFleet.Received rest = TestFleet.receive(fleet.router("vm-1", key).generate(resumed));
-        assertThat(rest.offsets()).isEqualTo(ALL.subList(5, CHUNKS));
-        assertThat(whole).endsWith(rest.text());
+        assertThat(rest.offsets()).isEqualTo(ALL_OFFSETS.subList(5, CHUNKS));
+        assertThat(completeText).endsWith(rest.text());
     }
 
-    /** All runners are gone: the caller is told at its deadline, with when to come back. */
+    /**
+     * Guards against a request that waits without end: no runner is left, so the request must be
+     * rejected at its deadline, with a time for the retry.
+     */
     @Test
-    void isRefusedAtItsDeadlineWhereNoRunnerIsLeft() throws Exception {
+    void requestIsRejectedAtItsDeadlineWhenNoRunnerIsLeft() throws Exception {
         fleet.models.forEach(ModelRunnerStandin::stop);
         fleet.awaitEndpoints(0);
         GenerateRequest request =
--- a/daemon/src/test/java/org/bronzelug/daemon/TestFleet.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/TestFleet.java
@@ -46,9 +46,10 @@
 import org.bronzelug.standin.RunnerTimes;
 
 /**
- * Daemons, platform and endpoints of a focused test, joined by real transports on loopback.
+ * The daemons of a test in this process, with stand-ins for the platform and the endpoints. They
+ * communicate over real connections on loopback.
  *
- * <p>Used by one test at a time; closing it stops everything.
+ * <p>Used by one test at a time. Closing it stops all of them.
  */
 final class TestFleet implements AutoCloseable {
     static final String TEAM = "buchhandel";
@@ -75,47 +76,47 @@
         platform.start();
     }
 
-    /** Starts daemons vm-1 … vm-n, and waits until they serve and know each other. */
+    /** Starts daemons vm-1 … vm-n, and waits until each of them serves and sees all others live. */
     TestFleet startDaemons(int count) throws Exception {
         for (int number = 1; number <= count; number++) {
             startDaemon("vm-" + number);
         }
         Await.until(
-                "all VMs know each other",
-                () -> daemons.values().stream().allMatch(daemon -> knowsAll(daemon, count)));
+                "all VMs serve and see each other live",
+                () -> daemons.values().stream().allMatch(daemon -> seesAllVms(daemon, count)));
         return this;
     }
 
-    private static boolean knowsAll(Daemon daemon, int count) {
+    private static boolean seesAllVms(Daemon daemon, int count) {
         var view = daemon.view();
         long live = view.peers().values().stream().filter(peer -> peer.live()).count();
         return daemon.isServing() && view.catalog().roster().size() == count && live == count - 1;
     }
 
     Daemon startDaemon(String vm) throws IOException, ServiceException {
-        CuttableLink peers = new CuttableLink();
-        CuttableLink toPlatform = new CuttableLink();
-        toPlatform.connectTo(platform.port());
+        CuttableLink peerLink = new CuttableLink();
+        CuttableLink platformLink = new CuttableLink();
+        platformLink.connectTo(platform.port());
         List<String> seeds = peerLinks.values().stream().map(CuttableLink::address).toList();
-        Daemon daemon = new Daemon(settings(vm, peers, toPlatform, seeds));
+        Daemon daemon = new Daemon(settings(vm, peerLink, platformLink, seeds));
         daemon.start();
         String address = daemon.peerAddress();
-        peers.connectTo(Integer.parseInt(address.substring(address.indexOf(':') + 1)));
+        peerLink.connectTo(Integer.parseInt(address.substring(address.indexOf(':') + 1)));
         daemons.put(vm, daemon);
-        Optional.ofNullable(peerLinks.put(vm, peers)).ifPresent(CuttableLink::cut);
-        platformLinks.put(vm, toPlatform);
+        Optional.ofNullable(peerLinks.put(vm, peerLink)).ifPresent(CuttableLink::cut);
+        platformLinks.put(vm, platformLink);
         return daemon;
     }
 
     private Settings settings(
-            String vm, CuttableLink peers, CuttableLink toPlatform, List<String> seeds) {
-        String any = HOST + ":0";
+            String vm, CuttableLink peerLink, CuttableLink platformLink, List<String> seeds) {
+        String anyPort = HOST + ":0";
         return new Settings(
                 vm,
                 "zone-a",
-                new Settings.Listen(any, any, any),
-                new Settings.Advertise(Optional.empty(), Optional.of(peers.address())),
-                "http://" + toPlatform.address(),
+                new Settings.Listen(anyPort, anyPort, anyPort),
+                new Settings.Advertise(Optional.empty(), Optional.of(peerLink.address())),
+                "http://" + platformLink.address(),
                 seeds,
                 folder.resolve("peer-secret").toString(),
                 secretFile.toString(),
@@ -132,37 +133,42 @@
                         (int) LimitField.MAXIMUM_PEER_FRAME_BYTES.usual()));
     }
 
-    /** Sets up the team, a pool of model runners and one of application runners; gives the key. */
+    /**
+     * Creates the team, a pool of model runners and a pool of application runners, and waits until
+     * all VMs see the runners live.
+     *
+     * @return a key of the team
+     */
     String setUp(int modelRunners, int applicationRunners) throws Exception {
         change(r -> r.setSetTeam(team(TEAM, 1_000_000, 1_000_000)));
         change(r -> r.setSetPool(pool(MODEL_POOL, PoolKind.MODEL, MODEL)));
         change(r -> r.setSetPool(pool(APPLICATION_POOL, PoolKind.APPLICATION, "")));
         for (int number = 1; number <= modelRunners; number++) {
-            joinModel("model-" + number);
+            joinModelRunner("model-" + number);
         }
         for (int number = 1; number <= applicationRunners; number++) {
             ApplicationRunnerStandin runner = new ApplicationRunnerStandin(HOST, 0, false);
             runner.start();
             applications.add(runner);
-            join(APPLICATION_POOL, "application-" + number, runner.url());
+            joinEndpoint(APPLICATION_POOL, "application-" + number, runner.url());
         }
         String key = issueKey(TEAM, "first");
         awaitEndpoints(modelRunners + applicationRunners);
         return key;
     }
 
-    ModelRunnerStandin joinModel(String name) throws Exception {
+    ModelRunnerStandin joinModelRunner(String name) throws Exception {
         RunnerTimes times = new RunnerTimes(10_000, 2_000_000, 100, 200_000);
         ModelRunnerStandin runner = new ModelRunnerStandin(HOST, 0, times, true);
         runner.start();
         models.add(runner);
-        join(MODEL_POOL, name, runner.url());
+        joinEndpoint(MODEL_POOL, name, runner.url());
         return runner;
     }
 
     void awaitEndpoints(int count) throws Exception {
         Await.until(
-                "all VMs find all endpoints up",
+                "all VMs see the expected number of live endpoints",
                 () -> daemons.values().stream().allMatch(d -> d.liveEndpoints() == count));
     }
 
@@ -183,7 +189,7 @@
                 .build();
     }
 
-    private void join(String pool, String endpoint, String url) throws Exception {
+    private void joinEndpoint(String pool, String endpoint, String url) throws Exception {
         change(
                 r ->
                         r.setJoinEndpoint(
@@ -193,7 +199,7 @@
                                         .setUrl(url)));
     }
 
-    ChangeAnswer leave(String endpoint) throws Exception {
+    ChangeAnswer leaveEndpoint(String endpoint) throws Exception {
         return change(
                 r ->
                         r.setLeaveEndpoint(
@@ -207,12 +213,12 @@
                 .getKey();
     }
 
-    ChangeAnswer withdraw(String team, String name) throws Exception {
+    ChangeAnswer withdrawKey(String team, String name) throws Exception {
         return change(
                 r -> r.setWithdrawKey(WithdrawKey.newBuilder().setTeam(team).setKeyName(name)));
     }
 
-    /** Fills in a change. */
+    /** Sets the change in a request. */
     interface Change {
         ChangeRequest.Builder fill(ChangeRequest.Builder request);
     }
@@ -258,7 +264,7 @@
                 .build();
     }
 
-    /** A stream as its caller got it. */
+    /** A stream as its caller received it. */
     record Received(List<Integer> offsets, String text, GenerateEvent last) {}
 
     static Received receive(Iterator<GenerateEvent> events) {
@@ -279,7 +285,7 @@
         return router(vm, key).locate(LocateRequest.getDefaultInstance());
     }
 
-    RunActionRequest refund(String vm, String key, String suffix) {
+    RunActionRequest refundRequest(String vm, String key, String suffix) {
         return RunActionRequest.newBuilder()
                 .setActionId(locate(vm, key).getActionPrefix() + suffix)
                 .setPool(APPLICATION_POOL)
@@ -288,11 +294,11 @@
                 .build();
     }
 
-    RunActionAnswer act(String vm, String key, RunActionRequest request) {
+    RunActionAnswer runAction(String vm, String key, RunActionRequest request) {
         return router(vm, key).runAction(request);
     }
 
-    /** What a VM's monitor shows of its measures. */
+    /** Reads the metrics of a VM over HTTP. */
     String metrics(String vm) throws Exception {
         return read("http://" + daemons.get(vm).monitorAddress() + "/metrics");
     }
@@ -304,7 +310,7 @@
         }
     }
 
-    long runsOf(String suffix) {
+    long runCount(String suffix) {
         return applications.stream()
                 .flatMap(runner -> runner.log().stream())
                 .filter(line -> line.contains("." + suffix + " "))
--- a/daemon/src/test/java/org/bronzelug/daemon/generate/ModelQueueTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/generate/ModelQueueTest.java
@@ -16,11 +16,10 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A runner's slot is given back once, whoever gives the request up.
- *
- * <p>What the callers would see: a runner that gets less and less work. The order: a request is
- * given up (its time is over, its caller cancels) in the moment in which it is granted a slot. Why:
- * the one who gives up and the one who grants each take the other to give the slot back.
+ * Guards against a runner slot that is never released, so that the runner gets fewer and fewer
+ * requests. This happens when a request times out or is cancelled at the moment in which a slot is
+ * granted to it, and the waiting thread and the granting thread each leave the release to the
+ * other.
  */
 @Timeout(value = 20, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class ModelQueueTest {
@@ -29,7 +28,7 @@
             PrefixChain.of("team", "model", 0, List.of("rules", "question"));
 
     private final Endpoint endpoint = new Endpoint("runner", "pool", "http://127.0.0.1:1");
-    private final AtomicReference<Runnable> atLook = new AtomicReference<>(() -> {});
+    private final AtomicReference<Runnable> onUsableLookup = new AtomicReference<>(() -> {});
     private final ModelQueue queue =
             new ModelQueue(
                     "pool",
@@ -37,141 +36,159 @@
                     CAPACITY,
                     this::usable,
                     new PlacementPolicy(PlacementSettings.defaults()));
-    private final CompletableFuture<Void> never = new CompletableFuture<>();
+    private final CompletableFuture<Void> neverCancelled = new CompletableFuture<>();
 
     private List<Endpoint> usable() {
-        atLook.get().run();
+        onUsableLookup.get().run();
         return List.of(endpoint);
     }
 
-    private ModelQueue.Slot acquire(long untilNanos, CompletableFuture<Void> cancelled)
+    private ModelQueue.Slot acquire(long deadlineNanos, CompletableFuture<Void> cancelled)
             throws RejectionException, InterruptedException {
-        return queue.acquire("team", CHAIN, Set.of(), untilNanos, cancelled);
+        return queue.acquire("team", CHAIN, Set.of(), deadlineNanos, cancelled);
     }
 
-    private static long inSeconds(int seconds) {
+    private static long deadlineInSeconds(int seconds) {
         return System.nanoTime() + seconds * 1_000_000_000L;
     }
 
     private static void awaitState(Thread thread, Thread.State state) {
         while (thread.getState() != state) {
             if (Thread.currentThread().isInterrupted()) {
-                throw new AssertionError("expected " + state + ", met " + thread.getState());
+                throw new AssertionError("expected " + state + ", found " + thread.getState());
             }
             Thread.onSpinWait();
         }
     }
 
-    /** Gives the one slot back, but holds the grant until the waiter has given up. */
-    private void releaseWhile(ModelQueue.Slot held, Thread waiter, Runnable givingUp) {
-        int[] looks = {0};
-        atLook.set(
+    /**
+     * Releases the only slot, but delays its grant until the waiter has timed out or is cancelled.
+     */
+    private void releaseDuring(ModelQueue.Slot held, Thread waiter, Runnable abandon) {
+        int[] lookups = {0};
+        onUsableLookup.set(
                 () -> {
-                    if (++looks[0] == 2) {
-                        // The waiter's slot is chosen, and not yet told.
-                        givingUp.run();
+                    if (++lookups[0] == 2) {
+                        // The slot for the waiter is chosen, but the waiter is not notified yet.
+                        abandon.run();
                         awaitState(waiter, Thread.State.BLOCKED);
                     }
                 });
         held.endpoint().end();
         queue.release(held.endpoint());
-        atLook.set(() -> {});
+        onUsableLookup.set(() -> {});
     }
 
-    private void assertAllGivenBack() throws Exception {
+    private void assertSlotReleased() throws Exception {
         assertThat(endpoint.inFlight()).isEqualTo(0);
         assertThat(endpoint.load().queuedPrefillTokens()).isEqualTo(0);
-        assertThat(acquire(inSeconds(30), never).endpoint()).isSameInstanceAs(endpoint);
+        assertThat(acquire(deadlineInSeconds(30), neverCancelled).endpoint())
+                .isSameInstanceAs(endpoint);
     }
 
     @Test
-    void aSlotGrantedAtTheDeadlineIsGivenBackWhole() throws Exception {
-        ModelQueue.Slot held = first();
-        AtomicReference<RejectionException> refused = new AtomicReference<>();
-        long soon = System.nanoTime() + 300_000_000;
+    void slotGrantedAtTheDeadlineIsReleased() throws Exception {
+        ModelQueue.Slot held = acquireFirstSlot();
+        AtomicReference<RejectionException> rejected = new AtomicReference<>();
+        long deadline = System.nanoTime() + 300_000_000;
         Thread waiter =
                 new Thread(
                         () ->
-                                refused.set(
+                                rejected.set(
                                         assertThrows(
                                                 RejectionException.class,
-                                                () -> acquire(soon, never))));
+                                                () -> acquire(deadline, neverCancelled))));
         waiter.start();
         awaitState(waiter, Thread.State.TIMED_WAITING);
-        releaseWhile(held, waiter, () -> {});
+        releaseDuring(held, waiter, () -> {});
         waiter.join();
-        assertThat(refused.get().problem().getCode()).isEqualTo("DEADLINE");
-        assertThat(refused.get().problem().getRetryAfterMs()).isGreaterThan(0L);
-        assertAllGivenBack();
+        assertThat(rejected.get().problem().getCode()).isEqualTo("DEADLINE");
+        assertThat(rejected.get().problem().getRetryAfterMs()).isGreaterThan(0L);
+        assertSlotReleased();
     }
 
     @Test
-    void aRequestCancelledWhileItWaitsIsAnsweredAtOnce() throws Exception {
-        ModelQueue.Slot held = first();
+    void requestCancelledWhileWaitingIsRejectedAtOnce() throws Exception {
+        ModelQueue.Slot held = acquireFirstSlot();
         CompletableFuture<Void> cancelled = new CompletableFuture<>();
-        AtomicReference<RejectionException> refused = new AtomicReference<>();
+        AtomicReference<RejectionException> rejected = new AtomicReference<>();
         Thread waiter =
                 new Thread(
                         () ->
-                                refused.set(
+                                rejected.set(
                                         assertThrows(
                                                 RejectionException.class,
-                                                () -> acquire(inSeconds(3_600), cancelled))));
+                                                () ->
+                                                        acquire(
+                                                                deadlineInSeconds(3_600),
+                                                                cancelled))));
         waiter.start();
         awaitState(waiter, Thread.State.TIMED_WAITING);
         cancelled.complete(null);
         waiter.join();
-        assertThat(refused.get().problem().getCode()).isEqualTo("CANCELLED");
+        assertThat(rejected.get().problem().getCode()).isEqualTo("CANCELLED");
         held.endpoint().end();
         queue.release(held.endpoint());
-        assertAllGivenBack();
+        assertSlotReleased();
     }
 
     @Test
-    void aSlotGrantedWhileTheCallerCancelsIsGivenBackWhole() throws Exception {
-        ModelQueue.Slot held = first();
+    void slotGrantedDuringCancellationIsReleased() throws Exception {
+        ModelQueue.Slot held = acquireFirstSlot();
         CompletableFuture<Void> cancelled = new CompletableFuture<>();
         Thread waiter =
                 new Thread(
                         () ->
                                 assertThrows(
                                         RejectionException.class,
-                                        () -> acquire(inSeconds(3_600), cancelled)));
+                                        () -> acquire(deadlineInSeconds(3_600), cancelled)));
         waiter.start();
         awaitState(waiter, Thread.State.TIMED_WAITING);
-        releaseWhile(held, waiter, () -> cancelled.complete(null));
+        releaseDuring(held, waiter, () -> cancelled.complete(null));
         waiter.join();
-        assertAllGivenBack();
+        assertSlotReleased();
     }
 
-    /** The flooding team's newest is told at once, and when to come back. */
+    /**
+     * Guards against a full queue that lets requests wait in vain: the newest request of the team
+     * with the most waiting requests must be rejected at once, with a time for the retry.
+     */
     @Test
-    void aFullQueueAnswersTheOneItGivesUpAtOnce() throws Exception {
-        first();
+    void fullQueueRejectsNewestRequestOfTheTeamWithMostWaiting() throws Exception {
+        acquireFirstSlot();
         List<CompletableFuture<String>> flood = new ArrayList<>();
         for (int request = 0; request < CAPACITY; request++) {
-            flood.add(rejection("flood"));
+            flood.add(requestSlot("flood"));
         }
-        CompletableFuture<String> quiet = rejection("quiet");
+        CompletableFuture<String> quiet = requestSlot("quiet");
         CompletableFuture.anyOf(flood.toArray(CompletableFuture[]::new)).join();
-        List<String> told = new ArrayList<>();
-        flood.stream().filter(CompletableFuture::isDone).forEach(f -> told.add(f.join()));
-        assertThat(told).containsExactly("OVERLOADED");
+        List<String> rejectedCodes = new ArrayList<>();
+        flood.stream().filter(CompletableFuture::isDone).forEach(f -> rejectedCodes.add(f.join()));
+        assertThat(rejectedCodes).containsExactly("OVERLOADED");
         assertThat(quiet.isDone()).isFalse();
     }
 
-    /** Asks on a thread of its own, and returns once it waits; later its refusal. */
-    private CompletableFuture<String> rejection(String team) {
+    /**
+     * Requests a slot on a new thread and returns once that thread waits.
+     *
+     * @return the problem code of the later rejection
+     */
+    private CompletableFuture<String> requestSlot(String team) {
         CompletableFuture<String> code = new CompletableFuture<>();
         Thread waiter =
                 new Thread(
                         () -> {
                             try {
-                                queue.acquire(team, CHAIN, Set.of(), inSeconds(3_600), never);
-                            } catch (RejectionException refused) {
-                                assertThat(refused.problem().getRetryAfterMs()).isGreaterThan(0L);
-                                code.complete(refused.problem().getCode());
-                            } catch (InterruptedException stopped) {
+                                queue.acquire(
+                                        team,
+                                        CHAIN,
+                                        Set.of(),
+                                        deadlineInSeconds(3_600),
+                                        neverCancelled);
+                            } catch (RejectionException rejected) {
+                                assertThat(rejected.problem().getRetryAfterMs()).isGreaterThan(0L);
+                                code.complete(rejected.problem().getCode());
+                            } catch (InterruptedException interrupted) {
                                 code.complete("interrupted");
                             }
                         });
@@ -181,8 +198,8 @@
         return code;
     }
 
-    private ModelQueue.Slot first() throws Exception {
-        ModelQueue.Slot slot = acquire(inSeconds(30), never);
+    private ModelQueue.Slot acquireFirstSlot() throws Exception {
+        ModelQueue.Slot slot = acquire(deadlineInSeconds(30), neverCancelled);
         endpoint.prefilled(ModelQueue.missingTokens(CHAIN, slot.placement()));
         return slot;
     }
--- a/daemon/src/test/java/org/bronzelug/daemon/peer/PeerNetworkTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/peer/PeerNetworkTest.java
@@ -26,10 +26,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Exchanges between daemons: each gets its own answer, and bad input harms its connection only.
- *
- * <p>What the caller would see: the answer to another's request. The order: an answer comes after
- * its request was given up, when the next request is already on the connection.
+ * Guards against an exchange that gets the response of another one: the response arrives after its
+ * request was cancelled, when the next request is already on the connection. Also guards against
+ * silent or unauthenticated peers and malformed frames that affect other exchanges.
  */
 class PeerNetworkTest {
     private static final int MAXIMUM_FRAME = 65_536;
@@ -38,16 +37,16 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final PeerSecret secret = new PeerSecret("a-secret-of-the-daemons");
-    private final ConcurrentLinkedQueue<Held> held = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<HeldRequest> held = new ConcurrentLinkedQueue<>();
     private PeerServer server;
     private PeerConnection connection;
 
-    /** A request whose answer the test gives when it likes. */
-    private record Held(Envelope request, CompletableFuture<Envelope.Builder> answer) {}
+    /** A received request, to which the test responds later. */
+    private record HeldRequest(Envelope request, CompletableFuture<Envelope.Builder> response) {}
 
     @BeforeEach
     void start() throws Exception {
-        server = new PeerServer(group, secret, this::hold, MAXIMUM_FRAME);
+        server = new PeerServer(group, secret, this::holdRequest, MAXIMUM_FRAME);
         server.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         connection = connect(secret);
     }
@@ -58,25 +57,25 @@
         group.shutdownGracefully();
     }
 
-    private CompletableFuture<Envelope.Builder> hold(Envelope request) {
-        CompletableFuture<Envelope.Builder> answer = new CompletableFuture<>();
-        held.add(new Held(request, answer));
-        return answer;
+    private CompletableFuture<Envelope.Builder> holdRequest(Envelope request) {
+        CompletableFuture<Envelope.Builder> response = new CompletableFuture<>();
+        held.add(new HeldRequest(request, response));
+        return response;
     }
 
-    private PeerConnection connect(PeerSecret with) {
+    private PeerConnection connect(PeerSecret peerSecret) {
         InetSocketAddress address =
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), server.port());
-        return PeerConnection.open(group, address, with, MAXIMUM_FRAME);
+        return PeerConnection.open(group, address, peerSecret, MAXIMUM_FRAME);
     }
 
-    private CompletableFuture<Envelope> ask(String name, long timeoutMillis) {
+    private CompletableFuture<Envelope> sendProbe(String name, long timeoutMillis) {
         Envelope.Builder request = Envelope.newBuilder().setProbe(Probe.newBuilder().setVm(name));
         return connection.exchange(request, timeoutMillis);
     }
 
-    private Held next() {
-        Held next = held.poll();
+    private HeldRequest nextHeldRequest() {
+        HeldRequest next = held.poll();
         while (next == null) {
             Thread.onSpinWait();
             next = held.poll();
@@ -84,77 +83,81 @@
         return next;
     }
 
-    private static void answer(Held held) {
-        ProbeAnswer.Builder answer =
+    private static void respondTo(HeldRequest held) {
+        ProbeAnswer.Builder response =
                 ProbeAnswer.newBuilder().setVm(held.request.getProbe().getVm());
-        held.answer.complete(Envelope.newBuilder().setProbeAnswer(answer));
+        held.response.complete(Envelope.newBuilder().setProbeAnswer(response));
     }
 
     @Test
-    void crossedAnswersReachTheirOwnRequests() {
-        CompletableFuture<Envelope> first = ask("first", LONG_MILLIS);
-        Held heldFirst = next();
-        CompletableFuture<Envelope> second = ask("second", LONG_MILLIS);
-        Held heldSecond = next();
-        answer(heldSecond);
-        answer(heldFirst);
+    void responsesOutOfOrderReachTheirOwnRequests() {
+        CompletableFuture<Envelope> first = sendProbe("first", LONG_MILLIS);
+        HeldRequest heldFirst = nextHeldRequest();
+        CompletableFuture<Envelope> second = sendProbe("second", LONG_MILLIS);
+        HeldRequest heldSecond = nextHeldRequest();
+        respondTo(heldSecond);
+        respondTo(heldFirst);
         assertThat(first.join().getProbeAnswer().getVm()).isEqualTo("first");
         assertThat(second.join().getProbeAnswer().getVm()).isEqualTo("second");
     }
 
     @Test
-    void aLateAnswerReachesNoOtherRequest() {
-        CompletableFuture<Envelope> first = ask("first", LONG_MILLIS);
-        Held late = next();
+    void lateResponseReachesNoOtherRequest() {
+        CompletableFuture<Envelope> first = sendProbe("first", LONG_MILLIS);
+        HeldRequest lateRequest = nextHeldRequest();
         first.cancel(false);
-        CompletableFuture<Envelope> second = ask("second", LONG_MILLIS);
-        Held heldSecond = next();
-        answer(late);
-        answer(heldSecond);
+        CompletableFuture<Envelope> second = sendProbe("second", LONG_MILLIS);
+        HeldRequest heldSecond = nextHeldRequest();
+        respondTo(lateRequest);
+        respondTo(heldSecond);
         assertThat(second.join().getProbeAnswer().getVm()).isEqualTo("second");
     }
 
     /**
-     * The caller would wait for its whole deadline. The order: the peer's kernel accepts, but its
-     * process is frozen and never says a word; no connection breaks.
+     * Guards against a request that waits for its whole deadline: the peer's kernel accepts the
+     * connection, but its process is frozen and never sends anything, so no connection breaks.
      */
     @Test
-    void aPeerThatNeverSaysAWordFailsTheExchange() throws Exception {
-        try (ServerSocket mute = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            InetSocketAddress address = (InetSocketAddress) mute.getLocalSocketAddress();
-            PeerConnection toMute = PeerConnection.open(group, address, secret, MAXIMUM_FRAME);
-            CompletableFuture<Envelope> answer =
-                    toMute.exchange(Envelope.newBuilder(), LONG_MILLIS);
-            assertThrows(CompletionException.class, answer::join);
-            assertThat(toMute.isClosed()).isTrue();
+    void exchangeWithPeerThatNeverSendsFails() throws Exception {
+        try (ServerSocket silentPeer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            InetSocketAddress address = (InetSocketAddress) silentPeer.getLocalSocketAddress();
+            PeerConnection toSilentPeer =
+                    PeerConnection.open(group, address, secret, MAXIMUM_FRAME);
+            CompletableFuture<Envelope> response =
+                    toSilentPeer.exchange(Envelope.newBuilder(), LONG_MILLIS);
+            assertThrows(CompletionException.class, response::join);
+            assertThat(toSilentPeer.isClosed()).isTrue();
         }
     }
 
-    /** A peer that lives, but takes long over one answer, is not taken for silent. */
+    /**
+     * Guards against a connection that is closed as silent while a live peer handles a slow
+     * request.
+     */
     @Test
-    void aSlowAnswerOfALivePeerIsAwaited() {
-        CompletableFuture<Envelope> slow = ask("slow", LONG_MILLIS);
-        Held heldSlow = next();
+    void slowResponseOfLivePeerIsAwaited() {
+        CompletableFuture<Envelope> slowResponse = sendProbe("slow", LONG_MILLIS);
+        HeldRequest heldSlow = nextHeldRequest();
         while (connection.keepalivesSent() <= PeerConnection.SILENT_CHECKS) {
             Thread.onSpinWait();
         }
-        answer(heldSlow);
-        assertThat(slow.join().getProbeAnswer().getVm()).isEqualTo("slow");
+        respondTo(heldSlow);
+        assertThat(slowResponse.join().getProbeAnswer().getVm()).isEqualTo("slow");
     }
 
     @Test
-    void aPeerWithoutTheSecretIsNotHeard() {
-        PeerConnection stranger = connect(new PeerSecret("another-secret-altogether"));
-        CompletableFuture<Envelope> answer =
-                stranger.exchange(Envelope.newBuilder().setProbe(Probe.newBuilder()), 5_000);
-        assertThrows(CompletionException.class, answer::join);
+    void requestFromPeerWithoutTheSecretIsNotHandled() {
+        PeerConnection unauthenticated = connect(new PeerSecret("another-secret-altogether"));
+        CompletableFuture<Envelope> response =
+                unauthenticated.exchange(Envelope.newBuilder().setProbe(Probe.newBuilder()), 5_000);
+        assertThrows(CompletionException.class, response::join);
         assertThat(held).isEmpty();
     }
 
-    /** A frame that is oversized or garbage closes its own connection; others go on. */
+    /** Guards against an oversized or malformed frame that affects other connections. */
     @ParameterizedTest
     @ValueSource(ints = {0x7fffffff, MAXIMUM_FRAME + 1, 9})
-    void aMalformedFrameClosesItsOwnConnectionOnly(int length) throws Exception {
+    void malformedFrameClosesOnlyItsOwnConnection(int length) throws Exception {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.port())) {
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             out.writeInt(length);
@@ -162,22 +165,26 @@
             out.flush();
             InputStream in = socket.getInputStream();
             while (in.read() >= 0) {
-                // The challenge comes first, then the end of the stream.
+                // The server sends the challenge, then closes the connection.
                 continue;
             }
         }
-        CompletableFuture<Envelope> answer = ask("other", LONG_MILLIS);
-        answer(next());
-        assertThat(answer.join().getProbeAnswer().getVm()).isEqualTo("other");
+        CompletableFuture<Envelope> response = sendProbe("other", LONG_MILLIS);
+        respondTo(nextHeldRequest());
+        assertThat(response.join().getProbeAnswer().getVm()).isEqualTo("other");
     }
 
     @Test
-    void aProofCanNeitherBeReplayedNorReflected() {
-        ByteString one = secret.newNonce();
-        ByteString other = secret.newNonce();
-        ByteString proof = secret.proof(PeerSecret.Role.CONNECTING, one, other);
-        assertThat(proof).isNotEqualTo(secret.proof(PeerSecret.Role.ACCEPTING, one, other));
+    void proofCanNeitherBeReplayedNorReflected() {
+        ByteString acceptorNonce = secret.newNonce();
+        ByteString connectorNonce = secret.newNonce();
+        ByteString proof = secret.proof(PeerSecret.Role.CONNECTING, acceptorNonce, connectorNonce);
+        assertThat(proof)
+                .isNotEqualTo(
+                        secret.proof(PeerSecret.Role.ACCEPTING, acceptorNonce, connectorNonce));
         assertThat(proof)
-                .isNotEqualTo(secret.proof(PeerSecret.Role.CONNECTING, secret.newNonce(), other));
+                .isNotEqualTo(
+                        secret.proof(
+                                PeerSecret.Role.CONNECTING, secret.newNonce(), connectorNonce));
     }
 }
--- a/daemon/src/test/java/org/bronzelug/daemon/settings/SettingsReaderTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/settings/SettingsReaderTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A settings file is checked as a whole before anything starts. */
+/**
+ * Guards against a daemon that starts with invalid settings, or that rejects them without saying
+ * where the fault is: the file is validated as a whole before anything starts.
+ */
 class SettingsReaderTest {
     private static final String VALID =
             """
@@ -36,7 +39,7 @@
     }
 
     @Test
-    void readsCommentsAndDefaults() throws Exception {
+    void commentsAreIgnoredAndMissingLimitsHaveTheirDefaults() throws Exception {
         Settings settings = read(VALID);
         assertThat(settings.vm()).isEqualTo("wien-nord-1");
         assertThat(settings.limits().drainMillis()).isEqualTo(5);
@@ -54,23 +57,26 @@
         "'http://', 'ftp://', 9, platformUrl",
         "'\"monitor\": \"127.0.0.1:0\"', '\"monitor\": \"localhost:0\"', 7, monitor",
     })
-    void namesLineFieldMetExpectedAndRemedy(String part, String wrong, int line, String field) {
-        SettingsException refused =
-                assertThrows(SettingsException.class, () -> read(VALID.replaceFirst(part, wrong)));
-        assertThat(refused).hasMessageThat().contains("settings.json:" + line + ":");
-        assertThat(refused).hasMessageThat().contains("\"" + field + "\"");
-        assertThat(refused).hasMessageThat().containsMatch("met .*, expected .*Remedy: ");
+    void invalidFieldIsReportedWithLineFieldFoundExpectedAndRemedy(
+            String regex, String replacement, int line, String field) {
+        SettingsException rejected =
+                assertThrows(
+                        SettingsException.class,
+                        () -> read(VALID.replaceFirst(regex, replacement)));
+        assertThat(rejected).hasMessageThat().contains("settings.json:" + line + ":");
+        assertThat(rejected).hasMessageThat().contains("\"" + field + "\"");
+        assertThat(rejected).hasMessageThat().containsMatch("met .*, expected .*Remedy: ");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "[]", "{\"vm\": \"a\", \"vm\": \"b\"}", "\u0000"})
-    void refusesWhatIsNotOneObject(String text) {
+    void contentThatIsNotOneJsonObjectIsRejected(String text) {
         assertThrows(SettingsException.class, () -> read(text));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"association-wien-nord-1.json", "taploen-dk-east-a-1.json"})
-    void theExamplesAreValid(String example) throws Exception {
+    void exampleFileIsValid(String example) throws Exception {
         Path root = Path.of(System.getProperty("bronzelug.root"));
         assertThat(SettingsReader.read(root.resolve("examples").resolve(example)).vm())
                 .isNotEmpty();
