--- a/core/src/main/java/org/bronzelug/core/action/ActionDecision.java
+++ b/core/src/main/java/org/bronzelug/core/action/ActionDecision.java
@@ -11,9 +11,9 @@
     /**
      * The call ran before: replay its response.
      *
-     * @param answer the response of the endpoint to the call
+     * @param response the response of the endpoint to the call
      */
-    record Repeat(byte[] answer) implements ActionDecision {}
+    record Replay(byte[] response) implements ActionDecision {}
 
     /** The call may have run: report it as in doubt and do not run it. */
     record StayInDoubt(String reason) implements ActionDecision {}
--- a/core/src/main/java/org/bronzelug/core/action/ActionId.java
+++ b/core/src/main/java/org/bronzelug/core/action/ActionId.java
@@ -11,11 +11,11 @@
  * issues it, with itself as the owner, when a caller asks which VM to use. The caller appends the
  * suffix. Immutable.
  *
- * @param home the owner
+ * @param owner the owner
  * @param period number of the owner's period in which the prefix was issued
  * @param suffix the part that the caller chose
  */
-public record ActionId(MemberIdentity home, long period, String suffix) {
+public record ActionId(MemberIdentity owner, long period, String suffix) {
     /** The maximum length of the suffix, so that the memory of the ledger is bounded. */
     public static final int MAXIMUM_SUFFIX_LENGTH = 64;
 
@@ -44,6 +44,6 @@
 
     @Override
     public String toString() {
-        return prefix(home, period) + suffix;
+        return prefix(owner, period) + suffix;
     }
 }
--- a/core/src/main/java/org/bronzelug/core/action/ActionLedger.java
+++ b/core/src/main/java/org/bronzelug/core/action/ActionLedger.java
@@ -60,7 +60,7 @@
     /** Decides on one arrival of a call. */
     public ActionDecision begin(ActionId id, String team, String bodyDigest, long nowNanos) {
         purge(nowNanos);
-        if (!owns(id.home())) {
+        if (!owns(id.owner())) {
             return new ActionDecision.ForwardToOwner();
         }
         ActionRecord record = records.get(id);
@@ -78,7 +78,7 @@
             return new ActionDecision.Await();
         }
         return switch (record.outcome().get()) {
-            case ActionOutcome.Ran ran -> new ActionDecision.Repeat(ran.answer());
+            case ActionOutcome.Ran ran -> new ActionDecision.Replay(ran.response());
             case ActionOutcome.InDoubt doubt -> new ActionDecision.StayInDoubt(doubt.reason());
             case ActionOutcome.NotRun notRun -> rerun(record);
         };
@@ -97,7 +97,7 @@
 
     private ActionDecision decideUnrecorded(
             ActionId id, String team, String bodyDigest, long nowNanos) {
-        if (incompleteTransfers.contains(id.home())) {
+        if (incompleteTransfers.contains(id.owner())) {
             return new ActionDecision.StayInDoubt("the records of the id's VM are not all here");
         }
         if (isTooOld(id, nowNanos)) {
@@ -175,7 +175,7 @@
      *     belong to any of {@code previousOwners} are in doubt, since a record that is still to
      *     come may show that they ran.
      */
-    public void adopt(
+    public void takeOwnership(
             Collection<OwnershipPeriod> previousOwners,
             List<ActionRecord> transferred,
             boolean complete,
@@ -204,7 +204,7 @@
     }
 
     private boolean isTooOld(ActionId id, long nowNanos) {
-        return id.period() + MAXIMUM_START_AGE_PERIODS < periodOf(id.home(), nowNanos);
+        return id.period() + MAXIMUM_START_AGE_PERIODS < periodOf(id.owner(), nowNanos);
     }
 
     /**
@@ -237,7 +237,7 @@
     private boolean isExpired(ActionRecord record, long nowNanos) {
         ActionId id = record.id();
         return record.outcome().isPresent()
-                && id.period() + RETENTION_PERIODS < periodOf(id.home(), nowNanos);
+                && id.period() + RETENTION_PERIODS < periodOf(id.owner(), nowNanos);
     }
 
     /**
--- a/core/src/main/java/org/bronzelug/core/action/ActionOutcome.java
+++ b/core/src/main/java/org/bronzelug/core/action/ActionOutcome.java
@@ -5,9 +5,9 @@
     /**
      * The endpoint ran the call and responded.
      *
-     * @param answer the response of the endpoint, kept to be replayed to retries
+     * @param response the response of the endpoint, kept to be replayed to retries
      */
-    record Ran(byte[] answer) implements ActionOutcome {}
+    record Ran(byte[] response) implements ActionOutcome {}
 
     /**
      * The call certainly had no effect: no byte of it left this VM, or the endpoint definitively
--- a/core/src/main/java/org/bronzelug/core/claim/ExclusiveClaim.java
+++ b/core/src/main/java/org/bronzelug/core/claim/ExclusiveClaim.java
@@ -64,7 +64,7 @@
      * @param hadPreviousHolder whether an earlier version named a holder; if not, this VM need not
      *     wait
      */
-    public void take(long committedVersion, boolean hadPreviousHolder) {
+    public void recordAcquisition(long committedVersion, boolean hadPreviousHolder) {
         observe(committedVersion, self);
         if (committedVersion == version) {
             firstHolder = !hadPreviousHolder;
@@ -89,7 +89,8 @@
      * using it, so that this VM need not wait. Ignored if a newer version is known, since then
      * another VM has acquired the claim.
      */
-    public void inherit(long transferredVersion, MemberIdentity previousHolder, long nowNanos) {
+    public void acceptTransfer(
+            long transferredVersion, MemberIdentity previousHolder, long nowNanos) {
         observe(transferredVersion, previousHolder);
         if (transferredVersion == version) {
             usableFrom = OptionalLong.of(nowNanos);
@@ -112,7 +113,7 @@
     }
 
     /** Returns whether this VM is the first holder that the claim ever had. */
-    public boolean isFirstEver() {
+    public boolean isFirstHolder() {
         return firstHolder;
     }
 
--- a/core/src/main/java/org/bronzelug/core/drain/DrainGate.java
+++ b/core/src/main/java/org/bronzelug/core/drain/DrainGate.java
@@ -39,7 +39,7 @@
         return closed && inProgress == 0;
     }
 
-    public synchronized int open() {
+    public synchronized int requestsInProgress() {
         return inProgress;
     }
 
--- a/core/src/main/java/org/bronzelug/core/limit/EndpointLimit.java
+++ b/core/src/main/java/org/bronzelug/core/limit/EndpointLimit.java
@@ -84,11 +84,12 @@
      */
     private void restartBucket(double requestsPerSecond, long nowNanos) {
         double rate = Math.max(MINIMUM_RATE, requestsPerSecond) * UNITS_PER_REQUEST;
-        double level = isNamed() ? bucket.level(nowNanos) * Math.min(1, rate / bucket.rate()) : 0;
+        double level =
+                isAdvertised() ? bucket.level(nowNanos) * Math.min(1, rate / bucket.rate()) : 0;
         bucket.restart(rate, MINIMUM_BURST * UNITS_PER_REQUEST + rate, level, nowNanos);
     }
 
-    public boolean isNamed() {
+    public boolean isAdvertised() {
         return limit instanceof AdvertisedLimit.Rate;
     }
 
@@ -112,7 +113,7 @@
      * @param draw random number, uniform in [0, 1)
      */
     public boolean tryAcquire(long size, boolean elsewhere, double draw, long nowNanos) {
-        if (!isNamed()) {
+        if (!isAdvertised()) {
             return true;
         }
         sizes.addLast(size);
@@ -142,7 +143,7 @@
 
     /** Returns an acquired request to the bucket, since it did not reach the endpoint. */
     public void refund(long nowNanos) {
-        if (isNamed()) {
+        if (isAdvertised()) {
             bucket.refund(UNITS_PER_REQUEST, nowNanos);
         }
     }
@@ -153,7 +154,7 @@
      * @param draw random number, uniform in [0, 1), that spreads the retries of callers
      */
     public long nanosUntil(double draw, long nowNanos) {
-        return isNamed() ? bucket.nanosUntil(UNITS_PER_REQUEST, draw, nowNanos) : 0;
+        return isAdvertised() ? bucket.nanosUntil(UNITS_PER_REQUEST, draw, nowNanos) : 0;
     }
 
     /** Returns how many requests could be sent at once; negative if too many have been sent. */
@@ -162,8 +163,8 @@
     }
 
     /** Returns this VM's usage, for publication to its peers. */
-    public Count count(long nowNanos) {
-        return new Count(bucket.admitted(), bucket.offered(), (long) bucket.level(nowNanos));
+    public Usage usage(long nowNanos) {
+        return new Usage(bucket.admitted(), bucket.offered(), (long) bucket.level(nowNanos));
     }
 
     /** Returns whether this VM has sent requests since the previous call of this method. */
@@ -174,17 +175,17 @@
     }
 
     /** Records the usage that a peer has published. */
-    public void recordPeer(String vm, String incarnation, Count count, long nowNanos) {
-        if (isNamed()) {
+    public void recordPeer(String vm, String incarnation, Usage usage, long nowNanos) {
+        if (isAdvertised()) {
             // Not started together: whichever VM started first, the peer may have counted requests
             // long before this VM learned of the limit.
             bucket.recordPeer(
                     new PeerBucketUsage(
                             vm,
                             incarnation,
-                            count.admitted(),
-                            count.offered(),
-                            count.level(),
+                            usage.admitted(),
+                            usage.offered(),
+                            usage.level(),
                             false),
                     nowNanos);
         }
@@ -193,7 +194,7 @@
     /**
      * Sets the fraction of the fleet's VMs that is reachable, and the propagation delay of usage.
      */
-    public void setFleet(double reachableFraction, long propagationDelayNanos) {
+    public void setReachability(double reachableFraction, long propagationDelayNanos) {
         bucket.setReachableFraction(reachableFraction);
         bucket.setPropagationDelay(propagationDelayNanos);
     }
@@ -205,5 +206,5 @@
      * @param offered requests that would have been sent without the limit
      * @param level level of the bucket as computed by the VM
      */
-    public record Count(long admitted, long offered, long level) {}
+    public record Usage(long admitted, long offered, long level) {}
 }
--- a/core/src/main/java/org/bronzelug/core/limit/RateShares.java
+++ b/core/src/main/java/org/bronzelug/core/limit/RateShares.java
@@ -61,10 +61,13 @@
         claim.observe(version, holder);
     }
 
-    /** Records that this VM has committed itself as the holder; see {@link ExclusiveClaim#take}. */
-    public void take(int group, long version, boolean hadHolder) {
+    /**
+     * Records that this VM has committed itself as the holder; see {@link
+     * ExclusiveClaim#recordAcquisition}.
+     */
+    public void recordAcquisition(int group, long version, boolean hadHolder) {
         observe(group, version, self);
-        claim(group).take(version, hadHolder);
+        claim(group).recordAcquisition(version, hadHolder);
     }
 
     /** Records that a majority of the VMs knows this VM as the holder. */
@@ -114,7 +117,7 @@
     }
 
     /** Starts using a group that the holder of this version has transferred to this VM. */
-    public void inherit(
+    public void acceptTransfer(
             int group,
             long version,
             MemberIdentity previousHolder,
@@ -122,7 +125,7 @@
             Map<String, TeamRate> rates,
             long nowNanos) {
         observe(group, version, previousHolder);
-        claim(group).inherit(version, previousHolder, nowNanos);
+        claim(group).acceptTransfer(version, previousHolder, nowNanos);
         if (claim(group).usableFrom().isEmpty()) {
             return;
         }
@@ -140,7 +143,7 @@
             // first request after that; otherwise this request would be rejected although it is
             // within the rate. Only the first holder ever starts with a full bucket, since no other
             // VM can have used the burst before.
-            double initialLevel = claim(group).isFirstEver() ? rate.burstTokens() : 0;
+            double initialLevel = claim(group).isFirstHolder() ? rate.burstTokens() : 0;
             long startNanos = claim(group).usableFrom().orElse(nowNanos);
             bucket = newBucket(rate, initialLevel, startNanos);
             buckets.put(team, bucket);
--- a/core/src/main/java/org/bronzelug/core/membership/Announcement.java
+++ b/core/src/main/java/org/bronzelug/core/membership/Announcement.java
@@ -47,7 +47,7 @@
     }
 
     /** Returns whether enough VMs have confirmed in the first round to begin the second. */
-    public boolean isFirstComplete() {
+    public boolean isFirstRoundComplete() {
         return firstRound.size() >= requiredConfirmations;
     }
 
--- a/core/src/main/java/org/bronzelug/core/membership/Freshness.java
+++ b/core/src/main/java/org/bronzelug/core/membership/Freshness.java
@@ -44,7 +44,7 @@
  */
 public final class Freshness {
     private final MemberIdentity self;
-    private final long limitNanos;
+    private final long stalenessBoundNanos;
     private final long startNanos;
     private final Map<String, MemberStatus> members = new HashMap<>();
     private Set<String> roster = Set.of();
@@ -53,18 +53,18 @@
 
     /**
      * @param self this VM
-     * @param limitNanos the staleness bound: the age of its configuration beyond which the VM stops
-     *     serving
+     * @param stalenessBoundNanos the staleness bound: the age of its configuration beyond which the
+     *     VM stops serving
      * @param startNanos when this VM started, with an empty configuration
      */
-    public Freshness(MemberIdentity self, long limitNanos, long startNanos) {
+    public Freshness(MemberIdentity self, long stalenessBoundNanos, long startNanos) {
         this.self = self;
-        this.limitNanos = limitNanos;
+        this.stalenessBoundNanos = stalenessBoundNanos;
         this.startNanos = startNanos;
     }
 
-    public long limitNanos() {
-        return limitNanos;
+    public long stalenessBoundNanos() {
+        return stalenessBoundNanos;
     }
 
     /** Returns whether this VM is caught up, and so counts for a majority. */
@@ -91,7 +91,7 @@
     }
 
     /** Records that this VM holds the result of a platform read that was sent at the given time. */
-    public void recordPlatform(long sentNanos) {
+    public void recordPlatformRead(long sentNanos) {
         if (platformSyncedAsOf.isEmpty() || platformSyncedAsOf.getAsLong() < sentNanos) {
             platformSyncedAsOf = OptionalLong.of(sentNanos);
         }
@@ -109,7 +109,7 @@
      */
     public void recordReport(ProbeReport report, long sentNanos) {
         OptionalLong peerSyncedAsOf =
-                report.settled() ? OptionalLong.of(sentNanos) : OptionalLong.empty();
+                report.caughtUp() ? OptionalLong.of(sentNanos) : OptionalLong.empty();
         recordMember(report.peer(), sentNanos, peerSyncedAsOf, report.draining());
         for (ProbeReport.MemberAge member : report.members()) {
             OptionalLong age = member.syncedAgeNanos();
@@ -120,7 +120,7 @@
             long lastSeen = sentNanos - member.lastSeenAgeNanos();
             recordMember(member.identity(), lastSeen, syncedAsOf, member.draining());
         }
-        report.platformAgeNanos().ifPresent(age -> recordPlatform(sentNanos - age));
+        report.platformAgeNanos().ifPresent(age -> recordPlatformRead(sentNanos - age));
         updateCaughtUp();
     }
 
@@ -172,7 +172,7 @@
      * Returns the time as of which this VM is synchronized: it holds every change that was in force
      * then. Empty if there is no such time.
      */
-    public OptionalLong freshAsOf(long nowNanos) {
+    public OptionalLong syncedAsOf(long nowNanos) {
         List<Long> syncTimes = memberSyncTimes();
         if (caughtUp && roster.contains(self.vm())) {
             syncTimes.add(nowNanos);
@@ -198,8 +198,8 @@
 
     /** Returns whether this VM is within the staleness bound, and so may serve now. */
     public boolean isFresh(long nowNanos) {
-        OptionalLong asOf = freshAsOf(nowNanos);
-        return asOf.isPresent() && nowNanos - asOf.getAsLong() <= limitNanos;
+        OptionalLong asOf = syncedAsOf(nowNanos);
+        return asOf.isPresent() && nowNanos - asOf.getAsLong() <= stalenessBoundNanos;
     }
 
     /**
@@ -207,7 +207,7 @@
      * synchronized.
      */
     public OptionalLong ageNanos(long nowNanos) {
-        OptionalLong asOf = freshAsOf(nowNanos);
+        OptionalLong asOf = syncedAsOf(nowNanos);
         return asOf.isPresent()
                 ? OptionalLong.of(Math.max(0, nowNanos - asOf.getAsLong()))
                 : OptionalLong.empty();
@@ -271,7 +271,7 @@
     }
 
     /** Returns the index of all incarnations known to this VM, including its own. */
-    public MemberIndex roll() {
+    public MemberIndex memberIndex() {
         List<MemberIdentity> known = new ArrayList<>();
         known.add(self);
         members.values().forEach(member -> known.add(member.identity()));
--- a/core/src/main/java/org/bronzelug/core/membership/PackedAges.java
+++ b/core/src/main/java/org/bronzelug/core/membership/PackedAges.java
@@ -23,9 +23,10 @@
  * <p>Immutable.
  *
  * @param ages one byte for each member of the index
- * @param named the members that are sent with their names because one byte cannot represent them
+ * @param individualAges the members that are sent with their names because one byte cannot
+ *     represent them
  */
-public record PackedAges(byte[] ages, List<ProbeReport.MemberAge> named) {
+public record PackedAges(byte[] ages, List<ProbeReport.MemberAge> individualAges) {
     static final long UNIT_NANOS = 10_000_000;
     private static final int NO_AGE = 255;
     private static final long MAXIMUM_AGE_NANOS = (NO_AGE - 1) * UNIT_NANOS;
@@ -33,7 +34,7 @@
 
     public PackedAges {
         ages = ages.clone();
-        named = List.copyOf(named);
+        individualAges = List.copyOf(individualAges);
     }
 
     @Override
--- a/core/src/main/java/org/bronzelug/core/membership/PlatformReaders.java
+++ b/core/src/main/java/org/bronzelug/core/membership/PlatformReaders.java
@@ -55,11 +55,16 @@
      * @param name of the VM
      * @param availabilityZone in which the VM runs
      * @param address at which peers read from the VM
-     * @param reads whether the VM reads from the platform and reaches it
-     * @param lost whether the VM tries to read from the platform and does not reach it
+     * @param readsPlatform whether the VM reads from the platform and reaches it
+     * @param platformUnreachable whether the VM tries to read from the platform and does not reach
+     *     it
      */
     public record Candidate(
-            String name, String availabilityZone, String address, boolean reads, boolean lost) {}
+            String name,
+            String availabilityZone,
+            String address,
+            boolean readsPlatform,
+            boolean platformUnreachable) {}
 
     /**
      * Returns whether a VM is to read from the platform.
@@ -103,11 +108,12 @@
     public static boolean isChecker(Candidate self, Collection<Candidate> reachable) {
         List<String> reachingPlatform =
                 reachable.stream()
-                        .filter(other -> other.reads() && !other.lost())
+                        .filter(other -> other.readsPlatform() && !other.platformUnreachable())
                         .map(Candidate::name)
                         .collect(Collectors.toCollection(ArrayList::new));
         reachingPlatform.add(self.name());
-        return self.reads() && Rendezvous.order(KEY, reachingPlatform).get(0).equals(self.name());
+        return self.readsPlatform()
+                && Rendezvous.order(KEY, reachingPlatform).get(0).equals(self.name());
     }
 
     private static List<Candidate> zone(Candidate self, Collection<Candidate> candidates) {
@@ -136,7 +142,8 @@
     }
 
     private static boolean hasLostPlatform(String name, List<Candidate> zone) {
-        return zone.stream().anyMatch(other -> other.name().equals(name) && other.lost());
+        return zone.stream()
+                .anyMatch(other -> other.name().equals(name) && other.platformUnreachable());
     }
 
     /**
@@ -145,7 +152,7 @@
      */
     public static List<Candidate> sources(Candidate self, Collection<Candidate> reachable) {
         return reachable.stream()
-                .filter(other -> other.reads() && !other.lost())
+                .filter(other -> other.readsPlatform() && !other.platformUnreachable())
                 .sorted(
                         Comparator.comparing(
                                         (Candidate other) ->
--- a/core/src/main/java/org/bronzelug/core/membership/ProbeReport.java
+++ b/core/src/main/java/org/bronzelug/core/membership/ProbeReport.java
@@ -9,7 +9,7 @@
  * <p>The report holds ages instead of times, so that no two clocks are compared. Immutable.
  *
  * @param peer the peer that responded
- * @param settled whether the peer is caught up and so counts for a majority: see {@link Freshness}
+ * @param caughtUp whether the peer is caught up and so counts for a majority: see {@link Freshness}
  * @param draining whether the peer is about to stop
  * @param platformAgeNanos how long before the response the platform confirmed the peer's
  *     configuration as current; empty if it never did
@@ -17,7 +17,7 @@
  */
 public record ProbeReport(
         MemberIdentity peer,
-        boolean settled,
+        boolean caughtUp,
         boolean draining,
         OptionalLong platformAgeNanos,
         List<MemberAge> members) {
--- a/core/src/main/java/org/bronzelug/core/membership/ProbeTargets.java
+++ b/core/src/main/java/org/bronzelug/core/membership/ProbeTargets.java
@@ -27,7 +27,7 @@
      * lost, probed fewer VMs and therefore saw even fewer, and for two thirds of the time no VM was
      * fresh (docs/MEASUREMENTS.md "Freshness").
      */
-    public static final long REMEMBERED_NANOS = 4_500_000_000L;
+    public static final long RECENTLY_SEEN_NANOS = 4_500_000_000L;
 
     /** One round in this many probes a VM that was not seen recently. */
     static final int ROUNDS_PER_SEARCH = 8;
--- a/core/src/main/java/org/bronzelug/core/placement/CacheEstimate.java
+++ b/core/src/main/java/org/bronzelug/core/placement/CacheEstimate.java
@@ -74,7 +74,7 @@
     }
 
     /** Removes all entries of a runner that left or crashed, or some of whose events were lost. */
-    public void forget(String runner) {
+    public void removeRunner(String runner) {
         runners.remove(runner);
     }
 
--- a/core/src/main/java/org/bronzelug/core/placement/LoadEstimate.java
+++ b/core/src/main/java/org/bronzelug/core/placement/LoadEstimate.java
@@ -18,23 +18,23 @@
     private int peerStreams;
 
     /** Records that a request was sent, with the given number of tokens to prefill. */
-    public void begin(double tokens) {
+    public void recordSent(double tokens) {
         ownTokens += tokens;
         ownStreams++;
     }
 
     /** Records that the prefill of a request is complete. */
-    public void prefilled(double tokens) {
+    public void recordPrefilled(double tokens) {
         ownTokens -= tokens;
     }
 
     /** Records that a request has ended. */
-    public void end() {
+    public void recordEnded() {
         ownStreams--;
     }
 
     /** Records a report of the runner. */
-    public void report(double queuedTokens, int runningStreams) {
+    public void recordReport(double queuedTokens, int runningStreams) {
         peerTokens = Math.max(0, queuedTokens - ownTokens);
         peerStreams = Math.max(0, runningStreams - ownStreams);
     }
--- a/core/src/main/java/org/bronzelug/core/placement/PromptUrgency.java
+++ b/core/src/main/java/org/bronzelug/core/placement/PromptPriority.java
@@ -12,7 +12,7 @@
  * <p>Invariant: a prompt of a team with a lower rank never has a less urgent priority than a prompt
  * of a team with a higher rank. Stateless and thread-safe.
  */
-public final class PromptUrgency {
+public final class PromptPriority {
     /** The most urgent priority; 0 is unused. */
     public static final int MOST_URGENT = 1;
 
@@ -21,7 +21,7 @@
     /** Number of route ranks that are distinguished within one team rank. */
     private static final int ROUTE_RANKS = 3;
 
-    private PromptUrgency() {}
+    private PromptPriority() {}
 
     /**
      * Returns the priority, between {@link #MOST_URGENT} and {@link #LEAST_URGENT}.
--- a/core/src/main/java/org/bronzelug/core/retry/RetryBudget.java
+++ b/core/src/main/java/org/bronzelug/core/retry/RetryBudget.java
@@ -25,7 +25,7 @@
     }
 
     /** Records the first attempt of a request. */
-    public void recordFirst(long nowNanos) {
+    public void recordFirstAttempt(long nowNanos) {
         advance(nowNanos);
         firstAttempts[index(currentSlice)]++;
     }
@@ -33,7 +33,7 @@
     /**
      * Takes one retry from the budget, if available.
      *
-     * <p>Retries by choice may use only a fraction of the budget. Without this, streams that move
+     * <p>Optional retries may use only a fraction of the budget. Without this, streams that move
      * away from a runner before it loads weights use up the budget; if the next runner rejects
      * them, they fail because no further retry is granted.
      *
--- a/core/src/main/java/org/bronzelug/core/retry/RetryKind.java
+++ b/core/src/main/java/org/bronzelug/core/retry/RetryKind.java
@@ -6,7 +6,7 @@
     REQUIRED(1),
 
     /** The request's endpoint would still serve it. */
-    BY_CHOICE(0.5);
+    OPTIONAL(0.5);
 
     private final double budgetFraction;
 
--- a/core/src/main/java/org/bronzelug/core/routing/IngressLimits.java
+++ b/core/src/main/java/org/bronzelug/core/routing/IngressLimits.java
@@ -19,7 +19,7 @@
     private static final long DEFAULT_IDLE_MILLIS = 15_000;
 
     /** Returns the limits that apply until a configuration is known. */
-    public static IngressLimits usual() {
+    public static IngressLimits defaults() {
         return new IngressLimits(
                 DEFAULT_HEADER_BYTES,
                 DEFAULT_BODY_BYTES,
--- a/core/src/main/java/org/bronzelug/core/routing/Route.java
+++ b/core/src/main/java/org/bronzelug/core/routing/Route.java
@@ -9,7 +9,7 @@
  * @param host lower case, without a port
  * @param pathPrefix begins and ends with a slash
  * @param stream whether responses are streams of events, forwarded as they arrive
- * @param repeat how requests may be retried
+ * @param retryPolicy how requests may be retried
  * @param anonymous whether requests need no key
  * @param timeoutMillis maximum time that a caller waits
  * @param goalMillis target time of a response; for a stream, of its first event
@@ -22,7 +22,7 @@
         String host,
         String pathPrefix,
         boolean stream,
-        RetryPolicy repeat,
+        RetryPolicy retryPolicy,
         boolean anonymous,
         long timeoutMillis,
         long goalMillis,
--- a/core/src/test/java/org/bronzelug/core/action/ActionLedgerTest.java
+++ b/core/src/test/java/org/bronzelug/core/action/ActionLedgerTest.java
@@ -46,8 +46,8 @@
         assertThat(begin(id)).isInstanceOf(ActionDecision.Await.class);
         ledger.finish(id, new ActionOutcome.Ran(new byte[] {7}));
         ActionDecision again = begin(id);
-        assertThat(again).isInstanceOf(ActionDecision.Repeat.class);
-        assertThat(((ActionDecision.Repeat) again).answer()).isEqualTo(new byte[] {7});
+        assertThat(again).isInstanceOf(ActionDecision.Replay.class);
+        assertThat(((ActionDecision.Replay) again).response()).isEqualTo(new byte[] {7});
     }
 
     @Test
@@ -88,12 +88,12 @@
         begin(running);
         ledger.close();
         ActionLedger successor = new ActionLedger(new MemberIdentity("vm-2", "b"), 0);
-        successor.adopt(ledger.ownershipPeriods(0), List.of(), false, 0);
+        successor.takeOwnership(ledger.ownershipPeriods(0), List.of(), false, 0);
         assertThat(successor.begin(id("3"), "team", "body", 0))
                 .isInstanceOf(ActionDecision.StayInDoubt.class);
-        successor.adopt(ledger.ownershipPeriods(0), ledger.recordsForSuccessor(), true, 0);
+        successor.takeOwnership(ledger.ownershipPeriods(0), ledger.recordsForSuccessor(), true, 0);
         assertThat(successor.begin(finished, "team", "body", 0))
-                .isInstanceOf(ActionDecision.Repeat.class);
+                .isInstanceOf(ActionDecision.Replay.class);
         assertThat(successor.begin(running, "team", "body", 0))
                 .isInstanceOf(ActionDecision.StayInDoubt.class);
         assertThat(successor.begin(id("3"), "team", "body", 0))
@@ -112,15 +112,16 @@
         ledger.close();
         MemberIdentity second = new MemberIdentity("vm-2", "b");
         ActionLedger successor = new ActionLedger(second, 0);
-        successor.adopt(ledger.ownershipPeriods(0), ledger.recordsForSuccessor(), true, 0);
+        successor.takeOwnership(ledger.ownershipPeriods(0), ledger.recordsForSuccessor(), true, 0);
         successor.close();
         ActionLedger thirdLedger = new ActionLedger(new MemberIdentity("vm-3", "c"), 0);
-        thirdLedger.adopt(successor.ownershipPeriods(0), List.of(), false, 0);
+        thirdLedger.takeOwnership(successor.ownershipPeriods(0), List.of(), false, 0);
         assertThat(thirdLedger.begin(finished, "team", "body", 0))
                 .isInstanceOf(ActionDecision.StayInDoubt.class);
-        thirdLedger.adopt(successor.ownershipPeriods(0), successor.recordsForSuccessor(), true, 0);
+        thirdLedger.takeOwnership(
+                successor.ownershipPeriods(0), successor.recordsForSuccessor(), true, 0);
         assertThat(thirdLedger.begin(finished, "team", "body", 0))
-                .isInstanceOf(ActionDecision.Repeat.class);
+                .isInstanceOf(ActionDecision.Replay.class);
     }
 
     /**
@@ -141,7 +142,7 @@
         assertThat(ledger.size()).isEqualTo(1);
         ledger.close();
         ActionLedger successor = new ActionLedger(new MemberIdentity("vm-2", "b"), laterNanos);
-        successor.adopt(
+        successor.takeOwnership(
                 ledger.ownershipPeriods(laterNanos),
                 ledger.recordsForSuccessor(),
                 true,
--- a/core/src/test/java/org/bronzelug/core/action/ActionModel.java
+++ b/core/src/test/java/org/bronzelug/core/action/ActionModel.java
@@ -101,7 +101,7 @@
         MemberIdentity at = anyVm();
         ActionDecision decision = runningLedgers.get(at).begin(id, team, body, now);
         if (decision instanceof ActionDecision.ForwardToOwner) {
-            MemberIdentity owner = id.home();
+            MemberIdentity owner = id.owner();
             while (!runningLedgers.containsKey(owner) && successors.containsKey(owner)) {
                 owner = successors.get(owner);
             }
@@ -124,9 +124,9 @@
                 }
                 pending.add(new PendingRun(at, id));
             }
-            case ActionDecision.Repeat repeat -> {
+            case ActionDecision.Replay replay -> {
                 replayed++;
-                if (!java.util.Arrays.equals(repeat.answer(), responses.get(id))) {
+                if (!java.util.Arrays.equals(replay.response(), responses.get(id))) {
                     violations.add("response of another call replayed for " + id);
                 }
             }
@@ -192,12 +192,13 @@
         for (OwnershipPeriod previousOwner : previousOwners) {
             successors.put(previousOwner.identity(), successor);
         }
-        successorLedger.adopt(previousOwners, records.subList(0, half), false, now);
+        successorLedger.takeOwnership(previousOwners, records.subList(0, half), false, now);
         runningLedgers.remove(from);
         if (!ids.isEmpty()) {
             arrive(anyId(), "team", BODY);
         }
-        successorLedger.adopt(previousOwners, records.subList(half, records.size()), true, now);
+        successorLedger.takeOwnership(
+                previousOwners, records.subList(half, records.size()), true, now);
         if (runningLedgers.size() < 3) {
             start();
         }
--- a/core/src/test/java/org/bronzelug/core/drain/DrainGateTest.java
+++ b/core/src/test/java/org/bronzelug/core/drain/DrainGateTest.java
@@ -32,7 +32,7 @@
                     }
                 }
             }
-            assertThat(gate.open()).isEqualTo(inProgress);
+            assertThat(gate.requestsInProgress()).isEqualTo(inProgress);
             assertThat(!wasIdle || gate.isIdle()).isTrue();
             wasIdle = gate.isIdle();
         }
--- a/core/src/test/java/org/bronzelug/core/limit/EndpointLimitTest.java
+++ b/core/src/test/java/org/bronzelug/core/limit/EndpointLimitTest.java
@@ -186,6 +186,6 @@
         assertThat(limit.observe(new AdvertisedLimit.None(), 30, 30)).isTrue();
         assertThat(limit.observe(rate(2), 20, 40)).isFalse();
         assertThat(limit.observe(new AdvertisedLimit.Malformed("-1"), 50, 50)).isFalse();
-        assertThat(limit.isNamed()).isFalse();
+        assertThat(limit.isAdvertised()).isFalse();
     }
 }
--- a/core/src/test/java/org/bronzelug/core/limit/LimitedFleet.java
+++ b/core/src/test/java/org/bronzelug/core/limit/LimitedFleet.java
@@ -148,7 +148,7 @@
             AdvertisedLimit limit,
             long seenAgeMillis,
             long sentMillis,
-            EndpointLimit.Count count) {}
+            EndpointLimit.Usage usage) {}
 
     private record Message(long arrivalMillis, Report report) {}
 
@@ -209,11 +209,12 @@
             if (millis < startMillis || millis % roundMillis != phase) {
                 return;
             }
-            limit.setFleet(1, (long) PROPAGATION_DELAY_ROUNDS * roundMillis * NANOS_PER_MILLI);
+            limit.setReachability(
+                    1, (long) PROPAGATION_DELAY_ROUNDS * roundMillis * NANOS_PER_MILLI);
             for (Report report : received) {
                 long seenMillis = report.sentMillis() - report.seenAgeMillis();
                 limit.observe(report.limit(), seenMillis * NANOS_PER_MILLI, nanos());
-                limit.recordPeer(report.vm(), report.incarnation(), report.count(), nanos());
+                limit.recordPeer(report.vm(), report.incarnation(), report.usage(), nanos());
             }
             received = new ArrayList<>();
             long seenAge = millis - limit.observedNanos() / NANOS_PER_MILLI;
@@ -225,7 +226,7 @@
                             limit.limit(),
                             seenAge,
                             millis,
-                            limit.count(nanos())));
+                            limit.usage(nanos())));
         }
     }
 }
--- a/core/src/test/java/org/bronzelug/core/limit/RateSharesTest.java
+++ b/core/src/test/java/org/bronzelug/core/limit/RateSharesTest.java
@@ -51,7 +51,7 @@
         reserve(shares, "r", 70, 0);
         Map<String, Double> left = shares.release(GROUP, RATES, 0);
         assertThat(reserve(shares, "s", 1, 0)).isInstanceOf(Admission.NotHeld.class);
-        otherShares.inherit(GROUP, 1, first, left, RATES, 0);
+        otherShares.acceptTransfer(GROUP, 1, first, left, RATES, 0);
         assertThat(reserve(otherShares, "s", 31, 0)).isInstanceOf(Admission.OverRate.class);
         assertThat(reserve(otherShares, "t", 30, 0)).isInstanceOf(Admission.Granted.class);
     }
@@ -60,7 +60,7 @@
     @Test
     void transferOfAnOlderVersionIsIgnored() {
         otherShares.observe(GROUP, 7, new MemberIdentity("vm-3", "c"));
-        otherShares.inherit(GROUP, 1, first, Map.of(TEAM, 100.0), RATES, 0);
+        otherShares.acceptTransfer(GROUP, 1, first, Map.of(TEAM, 100.0), RATES, 0);
         assertThat(reserve(otherShares, "s", 1, 0)).isInstanceOf(Admission.NotHeld.class);
     }
 
@@ -82,7 +82,7 @@
     }
 
     private static void take(RateShares vmShares, long version, boolean hadHolder, long now) {
-        vmShares.take(GROUP, version, hadHolder);
+        vmShares.recordAcquisition(GROUP, version, hadHolder);
         vmShares.confirm(GROUP, version, now);
     }
 
--- a/core/src/test/java/org/bronzelug/core/membership/FleetModel.java
+++ b/core/src/test/java/org/bronzelug/core/membership/FleetModel.java
@@ -371,7 +371,7 @@
         private void installRead(MemberIdentity reader, List<VersionedObject> objects, long sent) {
             if (identity.equals(reader)) {
                 install(objects);
-                freshness.recordPlatform(sent);
+                freshness.recordPlatformRead(sent);
             }
         }
 
@@ -384,9 +384,9 @@
                     object,
                     announcer,
                     (peer, caughtUp) -> {
-                        boolean before = announcement.isFirstComplete();
+                        boolean before = announcement.isFirstRoundComplete();
                         announcement.confirmFirst(peer.vm(), peer.incarnation(), caughtUp);
-                        if (!before && announcement.isFirstComplete()) {
+                        if (!before && announcement.isFirstRoundComplete()) {
                             startSecondRound(object, announcer, announcement, inForce);
                         }
                     });
@@ -461,7 +461,7 @@
             claimHolders.put(committed.version(), identity);
             boolean responseLost = faults.any() && random.nextInt(5) == 0;
             if (!responseLost) {
-                shares.take(GROUP, committed.version(), expectedVersion > 0);
+                shares.recordAcquisition(GROUP, committed.version(), expectedVersion > 0);
                 confirmClaim(committed);
             }
         }
--- a/core/src/test/java/org/bronzelug/core/membership/FreshnessTest.java
+++ b/core/src/test/java/org/bronzelug/core/membership/FreshnessTest.java
@@ -32,7 +32,7 @@
     @Test
     void isFreshWithinTheBoundAfterAPlatformReadWasSent() {
         assertThat(freshness.isFresh(START)).isFalse();
-        freshness.recordPlatform(START);
+        freshness.recordPlatformRead(START);
         assertThat(freshness.isFresh(START + STALENESS_BOUND)).isTrue();
         assertThat(freshness.isFresh(START + STALENESS_BOUND + 1)).isFalse();
     }
@@ -95,13 +95,13 @@
     void agesInAReportAreCountedBackFromTheProbe() {
         ProbeReport.MemberAge age =
                 new ProbeReport.MemberAge(third, 400, OptionalLong.of(500), false);
-        freshness.recordPlatform(START);
+        freshness.recordPlatformRead(START);
         freshness.recordReport(
                 new ProbeReport(second, true, false, OptionalLong.of(900), List.of(age)),
                 START + 1_000);
         assertThat(freshness.member("vm-3").orElseThrow().syncedAsOfNanos())
                 .isEqualTo(OptionalLong.of(START + 500));
         assertThat(freshness.platformAgeNanos(START + 1_000)).isEqualTo(OptionalLong.of(900));
-        assertThat(freshness.freshAsOf(START + 1_000)).isEqualTo(OptionalLong.of(START + 1_000));
+        assertThat(freshness.syncedAsOf(START + 1_000)).isEqualTo(OptionalLong.of(START + 1_000));
     }
 }
--- a/core/src/test/java/org/bronzelug/core/membership/PackedAgesTest.java
+++ b/core/src/test/java/org/bronzelug/core/membership/PackedAgesTest.java
@@ -51,7 +51,7 @@
     private static List<ProbeReport.MemberAge> packAndUnpack(Sample sample) {
         PackedAges packed = PackedAges.pack(sample.memberIndex, sample.members);
         List<ProbeReport.MemberAge> received = PackedAges.unpack(sample.memberIndex, packed.ages());
-        received.addAll(packed.named());
+        received.addAll(packed.individualAges());
         return received;
     }
 
--- a/core/src/test/java/org/bronzelug/core/membership/PlatformReadersTest.java
+++ b/core/src/test/java/org/bronzelug/core/membership/PlatformReadersTest.java
@@ -77,7 +77,7 @@
         assertThat(readersAfter).hasSize(8);
         assertThat(
                         PlatformReaders.sources(afterCut.get(0), readersAfter).stream()
-                                .noneMatch(Candidate::lost))
+                                .noneMatch(Candidate::platformUnreachable))
                 .isTrue();
     }
 
@@ -120,8 +120,8 @@
                                     return PlatformReaders.isChecker(self, reachable);
                                 })
                         .toList();
-        assertThat(checkers).hasSize(all.stream().allMatch(Candidate::lost) ? 0 : 1);
-        assertThat(checkers.stream().noneMatch(Candidate::lost)).isTrue();
+        assertThat(checkers).hasSize(all.stream().allMatch(Candidate::platformUnreachable) ? 0 : 1);
+        assertThat(checkers.stream().noneMatch(Candidate::platformUnreachable)).isTrue();
     }
 
     @Test
--- a/core/src/test/java/org/bronzelug/core/placement/PromptUrgencyTest.java
+++ b/core/src/test/java/org/bronzelug/core/placement/PromptPriorityTest.java
@@ -16,7 +16,7 @@
  * Guards against short urgent prompts that miss their target time behind long prompts, because all
  * teams have the same rank.
  */
-class PromptUrgencyTest {
+class PromptPriorityTest {
     private static final OptionalInt TEAM_RANK = OptionalInt.of(1);
     private static final int RUN_MILLIS = 20_000;
     private static final int SHORT_MILLIS = 10;
@@ -29,18 +29,18 @@
             @ForAll @IntRange(max = 2) int second,
             @ForAll @IntRange(max = 9) int firstRoute,
             @ForAll @IntRange(max = 9) int secondRoute) {
-        int firstUrgency = PromptUrgency.of(OptionalInt.of(first), firstRoute);
-        int secondUrgency = PromptUrgency.of(OptionalInt.of(second), secondRoute);
+        int firstPriority = PromptPriority.of(OptionalInt.of(first), firstRoute);
+        int secondPriority = PromptPriority.of(OptionalInt.of(second), secondRoute);
         if (first < second) {
-            assertThat(firstUrgency).isLessThan(secondUrgency);
+            assertThat(firstPriority).isLessThan(secondPriority);
         }
     }
 
     @Property(seed = "9202")
     void staysWithinTheRangeThatRunnersAccept(@ForAll int team, @ForAll int route) {
         for (OptionalInt rank : new OptionalInt[] {OptionalInt.empty(), OptionalInt.of(team)}) {
-            assertThat(PromptUrgency.of(rank, route)).isAtLeast(PromptUrgency.MOST_URGENT);
-            assertThat(PromptUrgency.of(rank, route)).isAtMost(PromptUrgency.LEAST_URGENT);
+            assertThat(PromptPriority.of(rank, route)).isAtLeast(PromptPriority.MOST_URGENT);
+            assertThat(PromptPriority.of(rank, route)).isAtMost(PromptPriority.LEAST_URGENT);
         }
     }
 
@@ -62,7 +62,7 @@
         Random random = new Random(seed);
         PriorityQueue<Waiting> waiting =
                 new PriorityQueue<>(
-                        Comparator.comparingInt(Waiting::urgency)
+                        Comparator.comparingInt(Waiting::priority)
                                 .thenComparingInt(Waiting::arrived));
         int shortPrompts = 0;
         int inTime = 0;
@@ -71,10 +71,10 @@
             if (random.nextDouble() < 0.025) {
                 shortPrompts++;
                 waiting.add(
-                        new Waiting(PromptUrgency.of(TEAM_RANK, shortRoute), now, SHORT_MILLIS));
+                        new Waiting(PromptPriority.of(TEAM_RANK, shortRoute), now, SHORT_MILLIS));
             }
             if (random.nextDouble() < 0.0015) {
-                waiting.add(new Waiting(PromptUrgency.of(TEAM_RANK, longRoute), now, LONG_MILLIS));
+                waiting.add(new Waiting(PromptPriority.of(TEAM_RANK, longRoute), now, LONG_MILLIS));
             }
             if (now >= busyUntil && !waiting.isEmpty()) {
                 Waiting next = waiting.poll();
@@ -86,5 +86,5 @@
         return (double) inTime / shortPrompts;
     }
 
-    private record Waiting(int urgency, int arrived, int millis) {}
+    private record Waiting(int priority, int arrived, int millis) {}
 }
--- a/core/src/test/java/org/bronzelug/core/retry/RetryBudgetTest.java
+++ b/core/src/test/java/org/bronzelug/core/retry/RetryBudgetTest.java
@@ -31,7 +31,7 @@
         for (int arriving : arrivals) {
             nowNanos += STEP_NANOS;
             for (int request = 0; request < arriving; request++) {
-                budget.recordFirst(nowNanos);
+                budget.recordFirstAttempt(nowNanos);
                 firstAttempts.add(nowNanos);
                 if (budget.tryRetry(RetryKind.REQUIRED, 0.2, slack, nowNanos)) {
                     retries.add(nowNanos);
@@ -52,7 +52,7 @@
             double ratio, double slack, int requests, int expected) {
         RetryBudget budget = new RetryBudget(WINDOW_NANOS);
         for (int request = 0; request < requests; request++) {
-            budget.recordFirst(0);
+            budget.recordFirstAttempt(0);
         }
         int granted = 0;
         while (budget.tryRetry(RetryKind.REQUIRED, ratio, slack, 1)) {
@@ -70,10 +70,10 @@
             @ForAll @IntRange(max = 200) int requests, @ForAll @IntRange(max = 60) int slack) {
         RetryBudget budget = new RetryBudget(WINDOW_NANOS);
         for (int request = 0; request < requests; request++) {
-            budget.recordFirst(0);
+            budget.recordFirstAttempt(0);
         }
         int byChoice = 0;
-        while (budget.tryRetry(RetryKind.BY_CHOICE, 0.2, slack, 1)) {
+        while (budget.tryRetry(RetryKind.OPTIONAL, 0.2, slack, 1)) {
             byChoice++;
         }
         int required = 0;
--- a/daemon/src/main/java/org/bronzelug/daemon/Drain.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/Drain.java
@@ -64,7 +64,7 @@
 
     /** Drains this VM. Afterwards it can stop without losing requests or state. */
     public void run() throws InterruptedException {
-        EventLog.info(LogEvent.DAEMON_DRAINING, "open requests: " + gate.open());
+        EventLog.info(LogEvent.DAEMON_DRAINING, "open requests: " + gate.requestsInProgress());
         control.run(state::startDraining);
         if (!state.view().peers().isEmpty()) {
             TimeUnit.MILLISECONDS.sleep(settings.limits().steerMillis());
@@ -72,7 +72,7 @@
         gate.close();
         long drainLimitNanos = TimeUnit.MILLISECONDS.toNanos(settings.limits().drainMillis());
         if (!gate.awaitIdle(drainLimitNanos)) {
-            EventLog.warn(LogEvent.DRAIN_INCOMPLETE, "open requests: " + gate.open());
+            EventLog.warn(LogEvent.DRAIN_INCOMPLETE, "open requests: " + gate.requestsInProgress());
         }
         transferToSuccessor();
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/action/ActionAnswers.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/action/ActionAnswers.java
@@ -18,7 +18,7 @@
             case ActionOutcome.Ran ran ->
                     RunActionAnswer.newBuilder()
                             .setExecution(Execution.RAN)
-                            .setBody(ByteString.copyFrom(ran.answer()))
+                            .setBody(ByteString.copyFrom(ran.response()))
                             .setRepeated(repeated);
             case ActionOutcome.InDoubt inDoubt -> inDoubt(inDoubt.reason(), 0);
             case ActionOutcome.NotRun notRun -> notRun(notRun.reason());
--- a/daemon/src/main/java/org/bronzelug/daemon/action/ActionBook.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/action/ActionBook.java
@@ -72,12 +72,14 @@
         return ledger.recordsForSuccessor();
     }
 
-    /** Takes ownership of the action ids of VMs that stop: see {@link ActionLedger#adopt}. */
+    /**
+     * Takes ownership of the action ids of VMs that stop: see {@link ActionLedger#takeOwnership}.
+     */
     public synchronized void takeOwnership(
             Collection<OwnershipPeriod> previousOwners,
             List<ActionRecord> records,
             boolean complete) {
-        ledger.adopt(previousOwners, records, complete, System.nanoTime());
+        ledger.takeOwnership(previousOwners, records, complete, System.nanoTime());
     }
 
     /** Returns the incarnations whose action ids this VM owns, its own incarnation first. */
--- a/daemon/src/main/java/org/bronzelug/daemon/action/ActionService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/action/ActionService.java
@@ -128,7 +128,7 @@
         return switch (ledger.begin(id, team, digest(request))) {
             case ActionDecision.Run run -> execute(id, pool, request);
             case ActionDecision.Await await -> await(id, request);
-            case ActionDecision.Repeat repeat -> ran(repeat.answer(), true);
+            case ActionDecision.Replay replay -> ran(replay.response(), true);
             case ActionDecision.StayInDoubt inDoubt -> inDoubt(inDoubt.reason(), 0);
             case ActionDecision.RejectNotRun rejected -> notRun(rejected.reason());
             case ActionDecision.RejectMismatch mismatch -> mismatch();
@@ -244,9 +244,9 @@
     }
 
     private RunActionAnswer forward(String team, ActionId id, RunActionRequest request) {
-        Optional<String> address = state.view().addressOf(id.home());
+        Optional<String> address = state.view().addressOf(id.owner());
         if (address.isEmpty()) {
-            return inDoubt("the VM that alone may run this id is gone: " + id.home().vm(), 0);
+            return inDoubt("the VM that alone may run this id is gone: " + id.owner().vm(), 0);
         }
         ForwardAction forward =
                 ForwardAction.newBuilder().setTeam(team).setRequest(request).build();
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/LoadOrderService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/LoadOrderService.java
@@ -108,7 +108,9 @@
 
     private ExclusiveClaim claim(String pool) {
         return claims.computeIfAbsent(
-                pool, ignored -> new ExclusiveClaim(state.self(), state.freshness().limitNanos()));
+                pool,
+                ignored ->
+                        new ExclusiveClaim(state.self(), state.freshness().stalenessBoundNanos()));
     }
 
     private Set<Endpoint> outdatedEndpoints(PoolObject pool) {
@@ -175,7 +177,7 @@
                             current,
                             order.toByteArray(),
                             value -> hasMark(value, mark),
-                            version -> claim(pool).take(version, current.isPresent()),
+                            version -> claim(pool).recordAcquisition(version, current.isPresent()),
                             version -> confirm(pool, version)));
         } finally {
             acquiring.remove(pool);
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/ShareService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/ShareService.java
@@ -111,7 +111,9 @@
                             current,
                             share.toByteArray(),
                             value -> hasMark(value, mark),
-                            version -> state.shares().take(group, version, current.isPresent()),
+                            version ->
+                                    state.shares()
+                                            .recordAcquisition(group, version, current.isPresent()),
                             version -> confirm(group, version)));
         } finally {
             acquiring.remove(group);
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/SuccessorService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/SuccessorService.java
@@ -51,7 +51,7 @@
                     long now = System.nanoTime();
                     for (ShareLevels share : message.getSharesList()) {
                         state.shares()
-                                .inherit(
+                                .acceptTransfer(
                                         share.getGroup(),
                                         share.getVersion(),
                                         new MemberIdentity(
--- a/daemon/src/main/java/org/bronzelug/daemon/control/Announcer.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/Announcer.java
@@ -52,7 +52,11 @@
                 PushObjects.newBuilder().addAllObjects(PeerMessages.toMessages(objects)).build();
         for (int attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
             Announcement announcement = control.ask(() -> begin(objects)).join();
-            runRound(push, announcement::confirmFirst, announcement::isFirstComplete, announcement);
+            runRound(
+                    push,
+                    announcement::confirmFirst,
+                    announcement::isFirstRoundComplete,
+                    announcement);
             runRound(push, announcement::confirmSecond, announcement::isInForce, announcement);
             synchronized (announcement) {
                 if (announcement.isInForce()) {
--- a/daemon/src/main/java/org/bronzelug/daemon/control/ControlState.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/ControlState.java
@@ -135,7 +135,7 @@
      * @param sentNanos the time at which the read was sent
      */
     public void recordPlatformRead(long sentNanos) {
-        freshness.recordPlatform(sentNanos);
+        freshness.recordPlatformRead(sentNanos);
         publish();
     }
 
@@ -205,13 +205,13 @@
         }
         boolean caughtUpSingle =
                 freshness.isCaughtUp() && freshness.roster().equals(Set.of(self.vm()));
-        OptionalLong syncedAsOf = freshness.freshAsOf(now);
+        OptionalLong syncedAsOf = freshness.syncedAsOf(now);
         view =
                 new ControlView(
                         catalog,
                         caughtUpSingle,
                         syncedAsOf,
-                        freshness.limitNanos(),
+                        freshness.stalenessBoundNanos(),
                         Map.copyOf(peers),
                         Map.copyOf(successors));
         logChanges(now);
@@ -248,7 +248,7 @@
                 entry.getCallerAddress(),
                 entry.getPeerAddress(),
                 status.map(MemberStatus::lastSeenNanos)
-                        .orElse(now - 2 * ProbeTargets.REMEMBERED_NANOS),
+                        .orElse(now - 2 * ProbeTargets.RECENTLY_SEEN_NANOS),
                 freshness.seenWithin(entry.getVm(), now, DEAD_AFTER_NANOS),
                 status.map(MemberStatus::draining).orElse(false));
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/control/PeerMessages.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/PeerMessages.java
@@ -31,10 +31,10 @@
         ProbeReport individualReport =
                 new ProbeReport(
                         report.peer(),
-                        report.settled(),
+                        report.caughtUp(),
                         report.draining(),
                         report.platformAgeNanos(),
-                        packed.named());
+                        packed.individualAges());
         return answer(individualReport, digest).setPackedAges(ByteString.copyFrom(packed.ages()));
     }
 
@@ -44,7 +44,7 @@
                         .setVm(report.peer().vm())
                         .setIncarnation(report.peer().incarnation())
                         .setDigest(digest)
-                        .setSettled(report.settled())
+                        .setSettled(report.caughtUp())
                         .setDraining(report.draining());
         report.platformAgeNanos().ifPresent(age -> answer.setPlatformAgeMs(ceilMillis(age)));
         for (ProbeReport.MemberAge member : report.members()) {
--- a/daemon/src/main/java/org/bronzelug/daemon/control/PlatformWatch.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/PlatformWatch.java
@@ -92,7 +92,8 @@
     private boolean isWatcherOrNearlyStale() {
         long now = System.nanoTime();
         Optional<Long> age = state.freshness().ageNanos(now).stream().boxed().findFirst();
-        boolean nearlyStale = age.isEmpty() || age.get() > state.freshness().limitNanos() / 2;
+        boolean nearlyStale =
+                age.isEmpty() || age.get() > state.freshness().stalenessBoundNanos() / 2;
         var vms = state.availableVms(now);
         int watchers = Math.max(MINIMUM_WATCHERS, vms.size() / VMS_PER_WATCHER);
         int rank = Rendezvous.order(WATCHERS_KEY, vms).indexOf(state.self().vm());
--- a/daemon/src/main/java/org/bronzelug/daemon/control/ProbeService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/ProbeService.java
@@ -81,13 +81,13 @@
         List<String> notRecentlySeen = new ArrayList<>();
         for (ControlView.PeerView peer : state.view().peers().values()) {
             long silenceNanos = now - peer.lastSeenNanos();
-            boolean recent = silenceNanos <= ProbeTargets.REMEMBERED_NANOS;
+            boolean recent = silenceNanos <= ProbeTargets.RECENTLY_SEEN_NANOS;
             (recent ? recentlySeen : notRecentlySeen).add(peer.peerAddress());
         }
         if (recentlySeen.isEmpty() && notRecentlySeen.isEmpty()) {
             notRecentlySeen.addAll(settings.seedPeers());
         }
-        MemberIndex memberIndex = state.freshness().roll();
+        MemberIndex memberIndex = state.freshness().memberIndex();
         ProbeTargets.choose(recentlySeen, notRecentlySeen, PROBES_PER_ROUND, random)
                 .forEach(address -> probe(address, memberIndex));
         state.publish();
@@ -163,7 +163,7 @@
                 () -> {
                     long now = System.nanoTime();
                     long digest = state.configuration().digest();
-                    MemberIndex memberIndex = state.freshness().roll();
+                    MemberIndex memberIndex = state.freshness().memberIndex();
                     ProbeReport report = state.freshness().report(now, state.isDraining());
                     ProbeAnswer.Builder answer =
                             memberIndex.digest() == request.getProbe().getRollDigest()
--- a/daemon/src/main/java/org/bronzelug/daemon/generate/ModelQueue.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/generate/ModelQueue.java
@@ -231,7 +231,7 @@
 
     /** Clears the cache estimate of an endpoint. */
     synchronized void clearCacheEstimate(Endpoint endpoint) {
-        cacheEstimate.forget(endpoint.name());
+        cacheEstimate.removeRunner(endpoint.name());
     }
 
     private synchronized void recordWait(long nanos) {
--- a/daemon/src/main/java/org/bronzelug/daemon/runner/Endpoint.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/runner/Endpoint.java
@@ -75,7 +75,7 @@
                 !report.incarnation().isEmpty()
                         && !report.incarnation().equals(newReport.incarnation());
         report = newReport;
-        estimate.report(newReport.queuedPrefillTokens(), newReport.running());
+        estimate.recordReport(newReport.queuedPrefillTokens(), newReport.running());
         live = true;
         return restarted;
     }
@@ -92,17 +92,17 @@
      * @param queuedTokens prompt tokens that the endpoint must prefill for it
      */
     public synchronized void begin(int queuedTokens) {
-        estimate.begin(queuedTokens);
+        estimate.recordSent(queuedTokens);
     }
 
     /** Records that the prefill of a request is done; takes the same tokens as {@link #begin}. */
     public synchronized void prefilled(int queuedTokens) {
-        estimate.prefilled(queuedTokens);
+        estimate.recordPrefilled(queuedTokens);
     }
 
     /** Records that a request has ended. */
     public synchronized void end() {
-        estimate.end();
+        estimate.recordEnded();
         served.incrementAndGet();
     }
 
--- a/measurement/src/main/java/org/bronzelug/measure/FreshnessMeasurement.java
+++ b/measurement/src/main/java/org/bronzelug/measure/FreshnessMeasurement.java
@@ -58,7 +58,7 @@
         for (String vm : roster) {
             Freshness freshness = new Freshness(new MemberIdentity(vm, "life"), MAXIMUM_AGE, 0);
             freshness.setRoster(roster);
-            freshness.recordPlatform(OUTAGE_START);
+            freshness.recordPlatformRead(OUTAGE_START);
             vms.add(freshness);
             rounds.add(new Round((long) (random.nextDouble() * periodNanos), vms.size() - 1));
         }
@@ -135,7 +135,7 @@
         List<Integer> unreachable = new ArrayList<>();
         for (int vm = 0; vm < vms.size(); vm++) {
             boolean recentlySeen =
-                    self.seenWithin(names.get(vm), round.at, ProbeTargets.REMEMBERED_NANOS);
+                    self.seenWithin(names.get(vm), round.at, ProbeTargets.RECENTLY_SEEN_NANOS);
             if (vm != round.vm) {
                 (recentlySeen ? reachable : unreachable).add(vm);
             }
@@ -149,17 +149,18 @@
         }
         Freshness prober = vms.get(from);
         Freshness responder = vms.get(to);
-        MemberIndex memberIndex = responder.roll();
+        MemberIndex memberIndex = responder.memberIndex();
         ProbeReport report = responder.report(now, false);
         PackedAges packed = PackedAges.pack(memberIndex, report.members());
-        List<ProbeReport.MemberAge> received = new ArrayList<>(packed.named());
+        List<ProbeReport.MemberAge> received = new ArrayList<>(packed.individualAges());
         received.addAll(PackedAges.unpack(memberIndex, packed.ages()));
         OptionalLong platformAge = report.platformAgeNanos();
         prober.recordReport(
-                new ProbeReport(report.peer(), report.settled(), false, platformAge, received),
+                new ProbeReport(report.peer(), report.caughtUp(), false, platformAge, received),
                 now);
         if (now >= MEASURED_FROM) {
-            responseBytes += HEADER_BYTES + packed.ages().length + 36.0 * packed.named().size();
+            responseBytes +=
+                    HEADER_BYTES + packed.ages().length + 36.0 * packed.individualAges().size();
         }
     }
 
--- a/measurement/src/main/java/org/bronzelug/measure/ModelledVm.java
+++ b/measurement/src/main/java/org/bronzelug/measure/ModelledVm.java
@@ -155,7 +155,7 @@
         long lastReport = reportedAt.getOrDefault(runner.name(), Long.MIN_VALUE / 2);
         if (now - lastReport > REPORT_INTERVAL) {
             reportedAt.put(runner.name(), now);
-            estimate(runner).report(runner.queuedTokens(now), runner.runningStreams());
+            estimate(runner).recordReport(runner.queuedTokens(now), runner.runningStreams());
         }
         return estimate(runner).load(runner.name(), runner.incarnation());
     }
@@ -170,7 +170,7 @@
         int estimatedCachedTokens =
                 cacheEstimate.cachedTokens(name, runner.incarnation(), chain, simulation.now());
         double queued = Math.max(0, chain.tokens() - estimatedCachedTokens);
-        estimate(runner).begin(queued);
+        estimate(runner).recordSent(queued);
         recordCached(runner, chain);
         long arrival = simulation.now() + runnerDelayNanos;
         simulation.at(arrival, () -> arriveAt(runner, request, queued));
@@ -187,13 +187,14 @@
         int found = runner.cachedTokens(request.chain());
         long firstToken = simulation.prefill(request, runner);
         long end = firstToken + runner.generationNanos(simulation.outputTokens());
-        simulation.at(firstToken + runnerDelayNanos, () -> estimate(runner).prefilled(queued));
+        simulation.at(
+                firstToken + runnerDelayNanos, () -> estimate(runner).recordPrefilled(queued));
         simulation.at(end + runnerDelayNanos, () -> end(runner, request, found));
     }
 
     private void end(ModelledRunner runner, Request request, int found) {
         runner.finishStream();
-        estimate(runner).end();
+        estimate(runner).recordEnded();
         if (policy != Policy.NO_BELIEF) {
             cacheEstimate.recordFound(runner.name(), runner.incarnation(), request.chain(), found);
             recordCached(runner, request.chain());
--- a/measurement/src/main/java/org/bronzelug/measure/SlopeMeasurement.java
+++ b/measurement/src/main/java/org/bronzelug/measure/SlopeMeasurement.java
@@ -115,7 +115,7 @@
                 "ns: report on all peers packed",
                 sizes(7, 35, 350),
                 n -> {
-                    MemberIndex memberIndex = freshness(n).roll();
+                    MemberIndex memberIndex = freshness(n).memberIndex();
                     ProbeReport report = report(n, 2_000 * MILLI);
                     return medianNanos(() -> PackedAges.pack(memberIndex, report.members()), 200);
                 });
@@ -124,7 +124,7 @@
                 sizes(7, 35, 350),
                 n -> {
                     Freshness freshness = freshness(n);
-                    return medianNanos(freshness::roll, 200);
+                    return medianNanos(freshness::memberIndex, 200);
                 });
         measureValues(
                 "message bytes: probe answer",
@@ -285,7 +285,7 @@
     }
 
     private ProbeAnswer packed(int peers) {
-        MemberIndex memberIndex = freshness(peers).roll();
+        MemberIndex memberIndex = freshness(peers).memberIndex();
         PackedAges packed = PackedAges.pack(memberIndex, report(peers, 2_000 * MILLI).members());
         return ProbeAnswer.newBuilder()
                 .setVm("zone-a-1")
--- a/router/src/main/java/org/bronzelug/router/control/FleetUpdates.java
+++ b/router/src/main/java/org/bronzelug/router/control/FleetUpdates.java
@@ -119,7 +119,7 @@
                 use.getBornMillis(),
                 limit,
                 Math.min(observedNanos, nowNanos),
-                new EndpointLimit.Count(use.getAdmitted(), use.getOffered(), use.getLevel()));
+                new EndpointLimit.Usage(use.getAdmitted(), use.getOffered(), use.getLevel()));
     }
 
     private PeerTeamUsage teamUsage(Member member, TeamUse use, long nowNanos) {
--- a/router/src/main/java/org/bronzelug/router/control/TrafficReport.java
+++ b/router/src/main/java/org/bronzelug/router/control/TrafficReport.java
@@ -116,16 +116,16 @@
 
     private static EndpointLimitUse limitUsage(
             EndpointState endpoint, EndpointLimit limit, long nowNanos) {
-        EndpointLimit.Count count = limit.count(nowNanos);
+        EndpointLimit.Usage ownUsage = limit.usage(nowNanos);
         EndpointLimitUse.Builder usage =
                 EndpointLimitUse.newBuilder()
                         .setEndpoint(endpoint.entry().id())
                         .setBornMillis(endpoint.entry().bornMillis())
                         .setSeenAgeMillis(
                                 TimeUnit.NANOSECONDS.toMillis(nowNanos - limit.observedNanos()))
-                        .setAdmitted(count.admitted())
-                        .setOffered(count.offered())
-                        .setLevel(count.level());
+                        .setAdmitted(ownUsage.admitted())
+                        .setOffered(ownUsage.offered())
+                        .setLevel(ownUsage.level());
         if (limit.limit() instanceof AdvertisedLimit.Rate rate) {
             usage.setNamed(true).setRequestsPerSecond(rate.requestsPerSecond());
         }
--- a/router/src/main/java/org/bronzelug/router/exchange/Attempts.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Attempts.java
@@ -78,7 +78,7 @@
 
     /** Returns whether the route allows one more endpoint for a request that may have run. */
     boolean isRetryable() {
-        boolean retryable = admitted.route().repeat() != RetryPolicy.AT_MOST_ONCE;
+        boolean retryable = admitted.route().retryPolicy() != RetryPolicy.AT_MOST_ONCE;
         return retryable && uncertainEndpoints.size() < admitted.route().maximumAttempts();
     }
 
--- a/router/src/main/java/org/bronzelug/router/exchange/EndpointRequestBuilder.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/EndpointRequestBuilder.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 import java.util.OptionalLong;
-import org.bronzelug.core.placement.PromptUrgency;
+import org.bronzelug.core.placement.PromptPriority;
 import org.bronzelug.core.routing.CacheStore;
 import org.bronzelug.core.routing.RoutingConfiguration;
 import org.bronzelug.core.routing.Team;
@@ -129,6 +129,6 @@
 
     private int priority() {
         OptionalInt teamPriority = admitted.team().map(Team::priority).orElse(OptionalInt.empty());
-        return PromptUrgency.of(teamPriority, admitted.route().priority());
+        return PromptPriority.of(teamPriority, admitted.route().priority());
     }
 }
--- a/router/src/main/java/org/bronzelug/router/exchange/EndpointSelection.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/EndpointSelection.java
@@ -60,7 +60,7 @@
     }
 
     private boolean tryAcquire(EndpointState endpoint, long nowNanos) {
-        Optional<EndpointLimit> limit = endpoint.limit().filter(EndpointLimit::isNamed);
+        Optional<EndpointLimit> limit = endpoint.limit().filter(EndpointLimit::isAdvertised);
         double draw = ThreadLocalRandom.current().nextDouble();
         boolean acquired =
                 limit.isEmpty()
@@ -87,7 +87,8 @@
                 .filter(endpoint -> isAllowed(endpoint.entry().id()))
                 .filter(endpoint -> !endpoint.isSuspect(nowNanos))
                 .filter(endpoint -> !endpoint.isExpectedToReject(nowNanos))
-                .anyMatch(endpoint -> endpoint.limit().filter(EndpointLimit::isNamed).isEmpty());
+                .anyMatch(
+                        endpoint -> endpoint.limit().filter(EndpointLimit::isAdvertised).isEmpty());
     }
 
     /**
--- a/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
@@ -123,7 +123,7 @@
                         traffic.schedule(this::onTimeout, timeoutMillis, TimeUnit.MILLISECONDS));
         admitted.pool()
                 .ifPresent(pool -> state.recordFirstAttempt(pool.name(), admitted.arrivedNanos()));
-        if (route().repeat() != RetryPolicy.AT_MOST_ONCE) {
+        if (route().retryPolicy() != RetryPolicy.AT_MOST_ONCE) {
             silence.start();
         }
         dispatch();
@@ -363,8 +363,8 @@
     /** Moves a resumable stream to another runner, so that its runner can load weights sooner. */
     @Override
     public void onDrain() {
-        if (route().repeat() == RetryPolicy.RESUMABLE) {
-            moveToOtherEndpoint("runner loads weights", RetryKind.BY_CHOICE);
+        if (route().retryPolicy() == RetryPolicy.RESUMABLE) {
+            moveToOtherEndpoint("runner loads weights", RetryKind.OPTIONAL);
         }
     }
 
--- a/router/src/main/java/org/bronzelug/router/exchange/ExchangeLog.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/ExchangeLog.java
@@ -41,7 +41,7 @@
 
     private static String limit(EndpointState endpoint, long nowNanos) {
         return endpoint.limit()
-                .filter(EndpointLimit::isNamed)
+                .filter(EndpointLimit::isAdvertised)
                 .map(limit -> " limit=" + limit.limit() + " level=" + limit.level(nowNanos))
                 .orElse("");
     }
--- a/router/src/main/java/org/bronzelug/router/exchange/Forwarder.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Forwarder.java
@@ -74,7 +74,7 @@
     public IngressLimits limits() {
         return state.configuration()
                 .map(RoutingConfiguration::limits)
-                .orElseGet(IngressLimits::usual);
+                .orElseGet(IngressLimits::defaults);
     }
 
     @Override
--- a/router/src/main/java/org/bronzelug/router/exchange/PrefillProgress.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/PrefillProgress.java
@@ -35,7 +35,7 @@
         runner = choice;
         sentNanos = nowNanos;
         queued = choice.isPresent();
-        choice.ifPresent(chosen -> chosen.endpoint().load().begin(chosen.missingTokens()));
+        choice.ifPresent(chosen -> chosen.endpoint().load().recordSent(chosen.missingTokens()));
     }
 
     /** Returns the runner that the prompt was sent to last; empty for requests without a prompt. */
@@ -65,7 +65,7 @@
         }
         queued = false;
         RunnerChoice choice = runner.orElseThrow();
-        choice.endpoint().load().prefilled(choice.missingTokens());
+        choice.endpoint().load().recordPrefilled(choice.missingTokens());
         if (wholePrompt) {
             state.choice().recordPrefillTime(choice, sentNanos, nowNanos);
         }
@@ -77,9 +77,9 @@
         runner.ifPresent(
                 choice -> {
                     if (queued) {
-                        choice.endpoint().load().prefilled(choice.missingTokens());
+                        choice.endpoint().load().recordPrefilled(choice.missingTokens());
                     }
-                    choice.endpoint().load().end();
+                    choice.endpoint().load().recordEnded();
                 });
         queued = false;
     }
--- a/router/src/main/java/org/bronzelug/router/exchange/ResponseRelay.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/ResponseRelay.java
@@ -63,7 +63,7 @@
         status = head.status();
         headers = Optional.of(wire.callerHeaders(response));
         boolean streaming = route.stream() && head.isSuccess();
-        splitsEvents = streaming && route.repeat() == RetryPolicy.RESUMABLE;
+        splitsEvents = streaming && route.retryPolicy() == RetryPolicy.RESUMABLE;
         if (streaming) {
             OptionalLong length =
                     HttpUtil.isContentLengthSet(response) && !splitsEvents
--- a/router/src/main/java/org/bronzelug/router/traffic/EndpointTable.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/EndpointTable.java
@@ -59,7 +59,7 @@
             state.limit()
                     .ifPresent(
                             limit ->
-                                    limit.setFleet(
+                                    limit.setReachability(
                                             update.reachableFraction(),
                                             update.propagationDelayNanos()));
         }
--- a/router/src/main/java/org/bronzelug/router/traffic/PeerLimitUsage.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/PeerLimitUsage.java
@@ -21,4 +21,4 @@
         long bornMillis,
         AdvertisedLimit limit,
         long seenNanos,
-        EndpointLimit.Count usage) {}
+        EndpointLimit.Usage usage) {}
--- a/router/src/main/java/org/bronzelug/router/traffic/TrafficState.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/TrafficState.java
@@ -76,7 +76,7 @@
 
     /** Records that a request is sent to a pool for the first time. */
     public void recordFirstAttempt(String pool, long nowNanos) {
-        budget(pool).recordFirst(nowNanos);
+        budget(pool).recordFirstAttempt(nowNanos);
     }
 
     /** Takes one retry out of this VM's portion of the fleet's retry budget, if one is left. */
--- a/router/src/test/java/org/bronzelug/router/traffic/EndpointStateTest.java
+++ b/router/src/test/java/org/bronzelug/router/traffic/EndpointStateTest.java
@@ -76,7 +76,7 @@
     @CsvSource({"40000, 1900, false", "40000, 2100, true", "1000, 1000, true"})
     void aRunnerMayBeSilentWhileItPrefillsALongPrompt(int tokens, long nowMillis, boolean suspect) {
         state.begin(() -> {}, 0);
-        state.load().begin(tokens);
+        state.load().recordSent(tokens);
         assertThat(state.isSuspect(nowMillis * MILLI)).isEqualTo(suspect);
     }
 
@@ -115,9 +115,9 @@
         assertThat(state.limit().get().limit()).isEqualTo(new AdvertisedLimit.Rate(2));
         state.recordResponse(response(new AdvertisedLimit.None(), false));
         state.recordResponse(response(new AdvertisedLimit.Malformed("x"), true));
-        assertThat(state.limit().get().isNamed()).isTrue();
+        assertThat(state.limit().get().isAdvertised()).isTrue();
         state.recordResponse(response(new AdvertisedLimit.None(), true));
-        assertThat(state.limit().get().isNamed()).isFalse();
+        assertThat(state.limit().get().isAdvertised()).isFalse();
     }
 
     /**
@@ -127,12 +127,12 @@
     @Test
     void aPeersReportSetsTheLimitAndItsUsageCounts() {
         long nowNanos = System.nanoTime();
-        EndpointLimit.Count usage = new EndpointLimit.Count(5_000, 5_000, -3_000);
+        EndpointLimit.Usage usage = new EndpointLimit.Usage(5_000, 5_000, -3_000);
         state.recordPeerLimit(
                 new PeerLimitUsage(
                         "vm-2", "one", "a", 1, new AdvertisedLimit.Rate(2), nowNanos, usage),
                 nowNanos);
-        assertThat(state.limit().get().isNamed()).isTrue();
+        assertThat(state.limit().get().isAdvertised()).isTrue();
         assertThat(state.limit().get().level(nowNanos)).isWithin(0.1).of(-3);
     }
 
