--- a/router/src/main/java/org/bronzelug/router/control/ControlService.java
+++ b/router/src/main/java/org/bronzelug/router/control/ControlService.java
@@ -20,7 +20,7 @@
 import org.bronzelug.router.fleet.FleetGossip;
 import org.bronzelug.router.fleet.Member;
 import org.bronzelug.router.fleet.MemberTable;
-import org.bronzelug.router.http.HttpResponder.SmallResponse;
+import org.bronzelug.router.http.SmallHttpServer.SmallResponse;
 import org.bronzelug.router.metrics.RouterMetrics;
 import org.bronzelug.router.order.OrderService;
 import org.bronzelug.router.settings.VmSettings;
@@ -170,18 +170,20 @@
      * Returns the addresses that callers may connect to: those of all reachable VMs that serve
      * requests.
      */
-    public List<FrontAddress> frontAddresses() {
-        List<FrontAddress> fronts = new ArrayList<>();
+    public List<CallersAddress> callersAddresses() {
+        List<CallersAddress> addresses = new ArrayList<>();
         if (isServing()) {
-            fronts.add(new FrontAddress(settings.callersAddress(), settings.availabilityZone()));
+            addresses.add(
+                    new CallersAddress(settings.callersAddress(), settings.availabilityZone()));
         }
         for (Member member : members.live(System.nanoTime())) {
             VmState peer = member.state();
             if (peer.getServing() && !peer.getStopping()) {
-                fronts.add(new FrontAddress(peer.getCallersAddress(), peer.getAvailabilityZone()));
+                addresses.add(
+                        new CallersAddress(peer.getCallersAddress(), peer.getAvailabilityZone()));
             }
         }
-        return fronts;
+        return addresses;
     }
 
     /**
@@ -190,7 +192,7 @@
      * @param address IP:PORT
      * @param availabilityZone of the VM
      */
-    public record FrontAddress(String address, String availabilityZone) {}
+    public record CallersAddress(String address, String availabilityZone) {}
 
     /** Returns the response to a peer that reads the platform's objects from this VM. */
     public CompletableFuture<SmallResponse> changesResponse(QueryStringDecoder query) {
--- a/router/src/main/java/org/bronzelug/router/control/ControlState.java
+++ b/router/src/main/java/org/bronzelug/router/control/ControlState.java
@@ -157,20 +157,20 @@
      *     runners are too far behind for a request long before any of them can have loaded it, and
      *     every request is rejected.
      */
-    private void updateTarget(ObjectDecoder.AdvertisedWeights advertised, long ageNanos) {
-        WeightsTarget known = weights.get(advertised.model());
-        if (known != null && known.version() >= advertised.version()) {
+    private void updateTarget(ObjectDecoder.PublishedWeights published, long ageNanos) {
+        WeightsTarget known = weights.get(published.model());
+        if (known != null && known.version() >= published.version()) {
             return;
         }
         long nowNanos = System.nanoTime();
         WeightsTarget target =
                 known == null
                         ? WeightsTarget.first(
-                                advertised.model(), advertised.version(), nowNanos - ageNanos)
-                        : known.with(advertised.version(), nowNanos);
-        weights.put(advertised.model(), target);
+                                published.model(), published.version(), nowNanos - ageNanos)
+                        : known.with(published.version(), nowNanos);
+        weights.put(published.model(), target);
         EventLog.info(
                 LogEvent.WEIGHTS_NAMED,
-                "model=" + advertised.model() + " version=" + advertised.version());
+                "model=" + published.model() + " version=" + published.version());
     }
 }
--- a/router/src/main/java/org/bronzelug/router/control/ObjectDecoder.java
+++ b/router/src/main/java/org/bronzelug/router/control/ObjectDecoder.java
@@ -27,7 +27,7 @@
     Optional<EndpointEntry> endpoint(StoredItem item);
 
     /** Decodes the target version of one model's weights. */
-    Optional<AdvertisedWeights> weights(StoredItem item);
+    Optional<PublishedWeights> weights(StoredItem item);
 
     /**
      * The published target version of a model's weights, which all its runners are to load.
@@ -35,5 +35,5 @@
      * @param model the model's name
      * @param version increases with each publication
      */
-    record AdvertisedWeights(String model, long version) {}
+    record PublishedWeights(String model, long version) {}
 }
--- a/router/src/main/java/org/bronzelug/router/control/PeerFeed.java
+++ b/router/src/main/java/org/bronzelug/router/control/PeerFeed.java
@@ -14,7 +14,7 @@
 import org.bronzelug.api.fleet.v1.KindChanges;
 import org.bronzelug.api.fleet.v1.ObjectChanges;
 import org.bronzelug.api.fleet.v1.StoredObject;
-import org.bronzelug.router.http.HttpResponder.SmallResponse;
+import org.bronzelug.router.http.SmallHttpServer.SmallResponse;
 import org.bronzelug.router.store.ItemChanges;
 import org.bronzelug.router.store.ObjectMirror;
 import org.bronzelug.router.store.StoredItem;
--- a/router/src/main/java/org/bronzelug/router/control/PeerReader.java
+++ b/router/src/main/java/org/bronzelug/router/control/PeerReader.java
@@ -13,8 +13,8 @@
 import org.bronzelug.api.fleet.v1.KindRevision;
 import org.bronzelug.api.fleet.v1.ObjectChanges;
 import org.bronzelug.api.fleet.v1.StoredObject;
-import org.bronzelug.router.http.HttpCaller;
-import org.bronzelug.router.http.HttpReply;
+import org.bronzelug.router.http.HttpClientResponse;
+import org.bronzelug.router.http.PooledHttpClient;
 import org.bronzelug.router.http.SocketSettings;
 import org.bronzelug.router.store.ItemChanges;
 import org.bronzelug.router.store.ItemList;
@@ -48,8 +48,8 @@
     }
 
     /** Returns a connection to the peer at an address. */
-    HttpCaller connect(String address) {
-        return new HttpCaller(control, SocketSettings.address(address));
+    PooledHttpClient connect(String address) {
+        return new PooledHttpClient(control, SocketSettings.address(address));
     }
 
     /** Returns whether any of a peer's revisions is later than this VM's revision of that kind. */
@@ -68,7 +68,7 @@
      *
      * @param waitMillis how long the peer may wait for a change
      */
-    CompletableFuture<Void> read(HttpCaller peer, long waitMillis) {
+    CompletableFuture<Void> read(PooledHttpClient peer, long waitMillis) {
         StringBuilder path = new StringBuilder(PeerFeed.PATH);
         path.append('?').append(PeerFeed.WAIT_PARAMETER).append('=').append(waitMillis);
         for (String kind : state.kinds()) {
@@ -83,14 +83,15 @@
                 .thenCompose(this::apply);
     }
 
-    private CompletableFuture<Void> apply(HttpReply reply) {
-        if (!reply.isSuccess()) {
+    private CompletableFuture<Void> apply(HttpClientResponse response) {
+        if (!response.isSuccess()) {
             return CompletableFuture.failedFuture(
-                    new IOException("peer responded with status " + reply.status() + " to a read"));
+                    new IOException(
+                            "peer responded with status " + response.status() + " to a read"));
         }
         ObjectChanges changes;
         try {
-            changes = ObjectChanges.parseFrom(reply.body());
+            changes = ObjectChanges.parseFrom(response.body());
         } catch (InvalidProtocolBufferException malformed) {
             return CompletableFuture.failedFuture(malformed);
         }
--- a/router/src/main/java/org/bronzelug/router/control/PlatformReading.java
+++ b/router/src/main/java/org/bronzelug/router/control/PlatformReading.java
@@ -17,8 +17,8 @@
 import org.bronzelug.log.LogEvent;
 import org.bronzelug.router.fleet.Member;
 import org.bronzelug.router.fleet.MemberTable;
-import org.bronzelug.router.http.HttpCaller;
-import org.bronzelug.router.http.HttpResponder.SmallResponse;
+import org.bronzelug.router.http.PooledHttpClient;
+import org.bronzelug.router.http.SmallHttpServer.SmallResponse;
 import org.bronzelug.router.settings.VmSettings;
 import org.bronzelug.router.store.ObjectStore;
 
@@ -324,7 +324,7 @@
         if (behindRounds >= CATCH_UP_ROUNDS && !catchUpInFlight) {
             catchUpInFlight = true;
             VmState selected = ahead.get(rounds % ahead.size()).state();
-            HttpCaller peer = peerReader.connect(selected.getPeersAddress());
+            PooledHttpClient peer = peerReader.connect(selected.getPeersAddress());
             peerReader
                     .read(peer, 0)
                     .whenComplete(
@@ -370,7 +370,7 @@
     /** A peer that is polled for changes until it is closed. */
     private final class PolledPeer {
         private final String address;
-        private final HttpCaller connection;
+        private final PooledHttpClient connection;
         private boolean closed;
 
         private PolledPeer(String address) {
--- a/router/src/main/java/org/bronzelug/router/control/TrafficReport.java
+++ b/router/src/main/java/org/bronzelug/router/control/TrafficReport.java
@@ -82,13 +82,13 @@
                         .filter(endpoint -> endpoint.areWeightsUnknown(nowNanos))
                         .map(endpoint -> endpoint.entry().id())
                         .toList();
-        List<PrefixRead> reads = state.choice().readsToTell(nowNanos);
+        List<PrefixRead> reads = state.choice().readsToReport(nowNanos);
         Set<String> suspects =
                 state.endpoints().all().stream()
                         .filter(endpoint -> endpoint.isSuspect(nowNanos))
                         .map(endpoint -> endpoint.entry().id())
                         .collect(Collectors.toSet());
-        Set<String> contendedTeams = state.rates().pressed(nowNanos);
+        Set<String> contendedTeams = state.rates().contended(nowNanos);
         List<EndpointLimitUse> limits = new ArrayList<>();
         List<EndpointLimitUse> contendedLimits = new ArrayList<>();
         for (EndpointState endpoint : state.endpoints().all()) {
--- a/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
@@ -442,7 +442,7 @@
     /** Rejects a request that has not run at any endpoint, and refunds its tokens. */
     private void rejectNotRun(String reason, long retryAfterMillis) {
         admitted.team().ifPresent(team -> state.rates().refund(team, admitted.tokens()));
-        metrics.refused(UNAVAILABLE);
+        metrics.rejected(UNAVAILABLE);
         finish(String.valueOf(UNAVAILABLE), reason);
         caller.reject(Rejection.retryLater(UNAVAILABLE, reason, "retry later", retryAfterMillis));
     }
--- a/router/src/main/java/org/bronzelug/router/exchange/Forwarder.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Forwarder.java
@@ -141,7 +141,7 @@
         long tokens = chargedTeam.map(present -> tokens(head, present)).orElse(0L);
         if (chargedTeam.isPresent()
                 && !state.rates().tryAcquire(chargedTeam.get(), tokens, arrivedNanos)) {
-            metrics.refusedOverRate();
+            metrics.rejectedOverRate();
             return reject(
                     head.id(), request, caller, overRate(chargedTeam.get(), tokens, arrivedNanos));
         }
@@ -179,7 +179,7 @@
     private CallerListener reject(
             String id, FullHttpRequest request, CallerConnection caller, Rejection rejection) {
         request.release();
-        metrics.refused(rejection.status());
+        metrics.rejected(rejection.status());
         EventLog.info(
                 LogEvent.REQUEST_REFUSED,
                 "request="
--- a/router/src/main/java/org/bronzelug/router/exchange/ResponseRelay.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/ResponseRelay.java
@@ -124,7 +124,7 @@
      * @return false if the stream ended within an event
      */
     boolean complete() {
-        if (splitsEvents && events.holdsPart()) {
+        if (splitsEvents && events.hasPartialEvent()) {
             return false;
         }
         if (begun) {
@@ -157,7 +157,7 @@
      */
     boolean prepareResume() {
         if (canResume()) {
-            events.dropPart();
+            events.dropPartialEvent();
         }
         return canResume();
     }
--- a/router/src/main/java/org/bronzelug/router/http/HttpReply.java
+++ b/router/src/main/java/org/bronzelug/router/http/HttpClientResponse.java
@@ -10,7 +10,7 @@
  * @param body the bytes of the body
  */
 @SuppressWarnings("ArrayRecordComponent")
-public record HttpReply(int status, HttpHeaders headers, byte[] body) {
+public record HttpClientResponse(int status, HttpHeaders headers, byte[] body) {
     private static final int SUCCESS = 200;
     private static final int FIRST_REDIRECT = 300;
 
--- a/router/src/main/java/org/bronzelug/router/http/HttpCaller.java
+++ b/router/src/main/java/org/bronzelug/router/http/PooledHttpClient.java
@@ -39,7 +39,7 @@
  * response is never taken for the response to the next call. Futures complete on the event loop.
  * Confined to that loop, except for {@link #call} and {@link #close}, which any thread may call.
  */
-public final class HttpCaller {
+public final class PooledHttpClient {
     /** Larger than the largest response of the platform, a list page of a megabyte plus framing. */
     private static final int MAXIMUM_RESPONSE_BYTES = 8 * 1_048_576;
 
@@ -47,7 +47,7 @@
     private final InetSocketAddress address;
     private final Deque<Connection> idle = new ArrayDeque<>();
 
-    public HttpCaller(EventLoop loop, InetSocketAddress address) {
+    public PooledHttpClient(EventLoop loop, InetSocketAddress address) {
         this.loop = loop;
         this.address = address;
     }
@@ -56,13 +56,13 @@
      * Sends a request. The future completes with the response, or with an {@link IOException} if no
      * complete response arrives within the timeout.
      */
-    public CompletableFuture<HttpReply> call(
+    public CompletableFuture<HttpClientResponse> call(
             HttpMethod method,
             String path,
             Map<String, String> headers,
             byte[] body,
             long timeoutMillis) {
-        CompletableFuture<HttpReply> reply = new CompletableFuture<>();
+        CompletableFuture<HttpClientResponse> response = new CompletableFuture<>();
         FullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1, method, path, Unpooled.wrappedBuffer(body));
@@ -72,18 +72,20 @@
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
             request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
         }
-        loop.execute(() -> begin(request, reply, timeoutMillis));
-        return reply;
+        loop.execute(() -> begin(request, response, timeoutMillis));
+        return response;
     }
 
     private void begin(
-            FullHttpRequest request, CompletableFuture<HttpReply> reply, long timeoutMillis) {
+            FullHttpRequest request,
+            CompletableFuture<HttpClientResponse> response,
+            long timeoutMillis) {
         Connection idleConnection = idle.pollFirst();
         while (idleConnection != null && !idleConnection.channel.isActive()) {
             idleConnection = idle.pollFirst();
         }
         if (idleConnection != null) {
-            idleConnection.send(request, reply, timeoutMillis);
+            idleConnection.send(request, response, timeoutMillis);
             return;
         }
         Connection connection = new Connection();
@@ -100,13 +102,13 @@
                         (ChannelFuture connected) -> {
                             if (!connected.isSuccess()) {
                                 request.release();
-                                reply.completeExceptionally(
+                                response.completeExceptionally(
                                         new IOException(
                                                 "no connection to " + address, connected.cause()));
                                 return;
                             }
                             connection.channel = connected.channel();
-                            connection.send(request, reply, timeoutMillis);
+                            connection.send(request, response, timeoutMillis);
                         });
     }
 
@@ -124,12 +126,14 @@
     /** One connection with at most one call in flight. */
     private final class Connection {
         private Channel channel;
-        private Optional<CompletableFuture<HttpReply>> pendingReply = Optional.empty();
+        private Optional<CompletableFuture<HttpClientResponse>> pendingResponse = Optional.empty();
         private Optional<ScheduledFuture<?>> timeout = Optional.empty();
 
         private void send(
-                FullHttpRequest request, CompletableFuture<HttpReply> reply, long timeoutMillis) {
-            pendingReply = Optional.of(reply);
+                FullHttpRequest request,
+                CompletableFuture<HttpClientResponse> response,
+                long timeoutMillis) {
+            pendingResponse = Optional.of(response);
             timeout =
                     Optional.of(
                             loop.schedule(
@@ -161,12 +165,12 @@
         }
 
         private void complete(FullHttpResponse response) {
-            Optional<CompletableFuture<HttpReply>> reply = pendingReply;
-            pendingReply = Optional.empty();
+            Optional<CompletableFuture<HttpClientResponse>> pending = pendingResponse;
+            pendingResponse = Optional.empty();
             timeout.ifPresent(running -> running.cancel(false));
-            if (reply.isEmpty() || response.decoderResult().isFailure()) {
+            if (pending.isEmpty() || response.decoderResult().isFailure()) {
                 channel.close();
-                reply.ifPresent(
+                pending.ifPresent(
                         future ->
                                 future.completeExceptionally(
                                         new IOException("malformed response")));
@@ -179,16 +183,19 @@
             } else {
                 channel.close();
             }
-            reply.get().complete(new HttpReply(response.status().code(), response.headers(), body));
+            pending.get()
+                    .complete(
+                            new HttpClientResponse(
+                                    response.status().code(), response.headers(), body));
         }
 
         private void fail(String cause) {
-            Optional<CompletableFuture<HttpReply>> reply = pendingReply;
-            pendingReply = Optional.empty();
+            Optional<CompletableFuture<HttpClientResponse>> pending = pendingResponse;
+            pendingResponse = Optional.empty();
             timeout.ifPresent(running -> running.cancel(false));
             idle.remove(this);
             channel.close();
-            reply.ifPresent(
+            pending.ifPresent(
                     future ->
                             future.completeExceptionally(new IOException(address + ": " + cause)));
         }
--- a/router/src/main/java/org/bronzelug/router/http/HttpResponder.java
+++ b/router/src/main/java/org/bronzelug/router/http/SmallHttpServer.java
@@ -33,7 +33,7 @@
  * function is called on that thread, and completes its future there. The response to a peer's read
  * may be delayed until an object changes.
  */
-public final class HttpResponder implements Service {
+public final class SmallHttpServer implements Service {
     private static final int MAXIMUM_REQUEST_BYTES = 65_536;
 
     private final String name;
@@ -45,7 +45,7 @@
     /**
      * @param responses a function that returns the response for a request's path and query
      */
-    public HttpResponder(
+    public SmallHttpServer(
             String name,
             EventLoop control,
             InetSocketAddress address,
--- a/router/src/main/java/org/bronzelug/router/metrics/RouterMetrics.java
+++ b/router/src/main/java/org/bronzelug/router/metrics/RouterMetrics.java
@@ -33,12 +33,12 @@
         arrived.inc();
     }
 
-    public void refusedOverRate() {
+    public void rejectedOverRate() {
         overRate.inc();
     }
 
     /** Counts a request that was rejected and has not run. */
-    public void refused(int status) {
+    public void rejected(int status) {
         registry.counter("requests_refused_" + status).inc();
     }
 
--- a/router/src/main/java/org/bronzelug/router/stream/EventSplitter.java
+++ b/router/src/main/java/org/bronzelug/router/stream/EventSplitter.java
@@ -62,12 +62,12 @@
     }
 
     /** Returns whether a partial event is buffered. */
-    public boolean holdsPart() {
+    public boolean hasPartialEvent() {
         return buffer.isReadable();
     }
 
     /** Drops a buffered partial event, whose runner will not complete it. */
-    public void dropPart() {
+    public void dropPartialEvent() {
         buffer.clear();
     }
 
--- a/router/src/main/java/org/bronzelug/router/traffic/EndpointChoice.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/EndpointChoice.java
@@ -218,7 +218,7 @@
     }
 
     /** Returns this VM's recent prefix reads, to be reported to the other VMs. */
-    public List<PrefixRead> readsToTell(long nowNanos) {
+    public List<PrefixRead> readsToReport(long nowNanos) {
         return prefixReads.readsToReport(nowNanos);
     }
 
--- a/router/src/main/java/org/bronzelug/router/traffic/TeamRates.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/TeamRates.java
@@ -108,7 +108,7 @@
     /**
      * Returns the names of the teams so near their limit that peers need this VM's usage at once.
      */
-    public Set<String> pressed(long nowNanos) {
+    public Set<String> contended(long nowNanos) {
         Set<String> contended = new HashSet<>();
         buckets.forEach(
                 (team, bucket) -> {
--- a/router/src/test/java/org/bronzelug/router/control/OneModelDecoder.java
+++ b/router/src/test/java/org/bronzelug/router/control/OneModelDecoder.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public Optional<AdvertisedWeights> weights(StoredItem item) {
-        return Optional.of(new AdvertisedWeights(item.name(), item.revision()));
+    public Optional<PublishedWeights> weights(StoredItem item) {
+        return Optional.of(new PublishedWeights(item.name(), item.revision()));
     }
 }
--- a/router/src/test/java/org/bronzelug/router/control/PeerFeedTest.java
+++ b/router/src/test/java/org/bronzelug/router/control/PeerFeedTest.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.bronzelug.router.http.HttpCaller;
-import org.bronzelug.router.http.HttpResponder;
+import org.bronzelug.router.http.PooledHttpClient;
+import org.bronzelug.router.http.SmallHttpServer;
 import org.bronzelug.router.store.ItemChanges;
 import org.bronzelug.router.store.ItemList;
 import org.bronzelug.router.store.StoredItem;
@@ -37,8 +37,8 @@
     private final ControlState polling = new ControlState(new OneModelDecoder(), 0);
     private final PeerFeed feed = new PeerFeed(control, served);
     private final PeerReader reader = new PeerReader(control, polling, polling::onChange);
-    private HttpResponder responder;
-    private HttpCaller peer;
+    private SmallHttpServer server;
+    private PooledHttpClient peer;
 
     @BeforeEach
     void start() throws Exception {
@@ -46,14 +46,14 @@
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             address = new InetSocketAddress(InetAddress.getLoopbackAddress(), probe.getLocalPort());
         }
-        responder =
-                new HttpResponder(
+        server =
+                new SmallHttpServer(
                         "feed",
                         control,
                         address,
                         uri -> feed.changesResponse(new QueryStringDecoder(uri)));
-        responder.start();
-        peer = new HttpCaller(control, address);
+        server.start();
+        peer = new PooledHttpClient(control, address);
         warmUp();
     }
 
@@ -72,7 +72,7 @@
 
     @AfterEach
     void stop() {
-        responder.stop();
+        server.stop();
         group.shutdownGracefully();
     }
 
--- a/router/src/test/java/org/bronzelug/router/http/HttpCallerTest.java
+++ b/router/src/test/java/org/bronzelug/router/http/PooledHttpClientTest.java
@@ -28,7 +28,7 @@
  * Guards against repeated timeouts after a network path fails: the idle connections that were
  * opened over it do not work any more but are still open.
  */
-class HttpCallerTest {
+class PooledHttpClientTest {
     private static final long TIMEOUT_MILLIS = 400;
 
     private final MultiThreadIoEventLoopGroup group =
@@ -47,19 +47,19 @@
     @ValueSource(ints = {1, 2, 5})
     void idleConnectionsAreNotUsedAfterATimeout(int connections) throws Exception {
         try (SilencedServer server = new SilencedServer(connections)) {
-            HttpCaller caller = new HttpCaller(group.next(), server.address());
-            List<CompletableFuture<HttpReply>> first =
-                    Stream.generate(() -> call(caller)).limit(connections).toList();
-            for (CompletableFuture<HttpReply> reply : first) {
-                assertThat(reply.get(10, TimeUnit.SECONDS).status()).isEqualTo(200);
+            PooledHttpClient client = new PooledHttpClient(group.next(), server.address());
+            List<CompletableFuture<HttpClientResponse>> first =
+                    Stream.generate(() -> call(client)).limit(connections).toList();
+            for (CompletableFuture<HttpClientResponse> response : first) {
+                assertThat(response.get(10, TimeUnit.SECONDS).status()).isEqualTo(200);
             }
-            assertThrows(ExecutionException.class, () -> call(caller).get(10, TimeUnit.SECONDS));
-            assertThat(call(caller).get(10, TimeUnit.SECONDS).status()).isEqualTo(200);
+            assertThrows(ExecutionException.class, () -> call(client).get(10, TimeUnit.SECONDS));
+            assertThat(call(client).get(10, TimeUnit.SECONDS).status()).isEqualTo(200);
         }
     }
 
-    private static CompletableFuture<HttpReply> call(HttpCaller caller) {
-        return caller.call(HttpMethod.GET, "/", Map.of(), new byte[0], TIMEOUT_MILLIS);
+    private static CompletableFuture<HttpClientResponse> call(PooledHttpClient client) {
+        return client.call(HttpMethod.GET, "/", Map.of(), new byte[0], TIMEOUT_MILLIS);
     }
 
     /**
