--- a/daemon/src/main/java/org/bronzelug/daemon/Daemon.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/Daemon.java
@@ -93,14 +93,14 @@
 
     /** Returns whether the platform answered the last call. */
     public boolean isPlatformUp() {
-        return component.platformWatch().isReachable();
+        return component.platformWatch().isPlatformReachable();
     }
 
     /** Returns the digest of the configuration; equal for daemons with equal configurations. */
     public long digest() {
         return component
                 .controlThread()
-                .ask(() -> component.controlState().configuration().digest())
+                .submit(() -> component.controlState().configuration().digest())
                 .join();
     }
 
--- a/daemon/src/main/java/org/bronzelug/daemon/Drain.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/Drain.java
@@ -10,8 +10,8 @@
 import org.bronzelug.api.peer.Envelope;
 import org.bronzelug.core.action.ActionRecord;
 import org.bronzelug.core.drain.DrainGate;
-import org.bronzelug.daemon.action.ActionBook;
 import org.bronzelug.daemon.action.HandOverMessages;
+import org.bronzelug.daemon.action.SharedActionLedger;
 import org.bronzelug.daemon.claim.ReleasedShare;
 import org.bronzelug.daemon.claim.ShareService;
 import org.bronzelug.daemon.control.ControlState;
@@ -40,7 +40,7 @@
     private final ControlThread control;
     private final ControlState state;
     private final DrainGate gate;
-    private final ActionBook actions;
+    private final SharedActionLedger actions;
     private final ShareService shares;
     private final PeerNetwork peers;
 
@@ -50,7 +50,7 @@
             ControlThread control,
             ControlState state,
             DrainGate gate,
-            ActionBook actions,
+            SharedActionLedger actions,
             ShareService shares,
             PeerNetwork peers) {
         this.settings = settings;
--- a/daemon/src/main/java/org/bronzelug/daemon/action/ActionService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/action/ActionService.java
@@ -54,7 +54,7 @@
 
     private final Settings settings;
     private final ControlState state;
-    private final ActionBook ledger;
+    private final SharedActionLedger ledger;
     private final EndpointDirectory directory;
     private final RunnerClient client;
     private final PeerNetwork peers;
@@ -67,7 +67,7 @@
     public ActionService(
             Settings settings,
             ControlState state,
-            ActionBook ledger,
+            SharedActionLedger ledger,
             EndpointDirectory directory,
             RunnerClient client,
             PeerNetwork peers,
@@ -81,7 +81,7 @@
         this.peers = peers;
         this.gate = gate;
         this.metrics = metrics;
-        peers.handle(Envelope.BodyCase.FORWARD_ACTION, this::handleForward);
+        peers.setHandler(Envelope.BodyCase.FORWARD_ACTION, this::handleForward);
     }
 
     /** Runs a call of an authenticated team. */
@@ -105,7 +105,7 @@
                                                 0));
         RunActionAnswer answer = runOnce(team, id, pool, request);
         if (answer.getExecution() == Execution.IN_DOUBT) {
-            metrics.inDoubt(team);
+            metrics.countInDoubt(team);
         }
         return answer;
     }
@@ -210,16 +210,16 @@
             Endpoint endpoint, Optional<String> id, RunActionRequest request, long deadlineNanos)
             throws RunnerException {
         long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
-        endpoint.begin(0);
+        endpoint.recordSent(0);
         try {
-            return client.act(
+            return client.runAction(
                     endpoint,
                     request.getMethod(),
                     id,
                     request.getBody().toByteArray(),
                     Math.max(1, remainingMillis));
         } finally {
-            endpoint.end();
+            endpoint.recordEnded();
         }
     }
 
--- a/daemon/src/main/java/org/bronzelug/daemon/action/ActionBook.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/action/SharedActionLedger.java
@@ -18,12 +18,12 @@
 
 /** The VM's {@link ActionLedger}, shared by the traffic threads under one lock. Thread-safe. */
 @Singleton
-public final class ActionBook {
+public final class SharedActionLedger {
     private final ActionLedger ledger;
     private final Map<ActionId, CompletableFuture<ActionOutcome>> running = new HashMap<>();
 
     @Inject
-    public ActionBook(MemberIdentity self) {
+    public SharedActionLedger(MemberIdentity self) {
         ledger = new ActionLedger(self, System.nanoTime());
     }
 
--- a/daemon/src/main/java/org/bronzelug/daemon/caller/CallerKeys.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/caller/CallerKeys.java
@@ -48,7 +48,7 @@
                     ProblemCode.NOT_FRESH,
                     "this VM has had no word of the configuration for too long",
                     "use another VM; this one comes back by itself",
-                    TimeUnit.NANOSECONDS.toMillis(view.limitNanos()));
+                    TimeUnit.NANOSECONDS.toMillis(view.stalenessBoundNanos()));
         }
         Optional<String> team = view.catalog().teamOf(key);
         if (team.isEmpty()) {
--- a/daemon/src/main/java/org/bronzelug/daemon/caller/RouterCalls.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/caller/RouterCalls.java
@@ -21,8 +21,8 @@
 import org.bronzelug.core.drain.DrainGate;
 import org.bronzelug.core.key.KeyDigest;
 import org.bronzelug.core.placement.PrefixChain;
-import org.bronzelug.daemon.action.ActionBook;
 import org.bronzelug.daemon.action.ActionService;
+import org.bronzelug.daemon.action.SharedActionLedger;
 import org.bronzelug.daemon.generate.GenerateService;
 import org.bronzelug.daemon.generate.GenerationResult;
 import org.bronzelug.daemon.generate.RejectionException;
@@ -43,7 +43,7 @@
     private final Settings settings;
     private final CallerKeys keys;
     private final VmChoice vmChoice;
-    private final ActionBook actionBook;
+    private final SharedActionLedger actionLedger;
     private final GenerateService generations;
     private final ActionService actionService;
     private final DrainGate drainGate;
@@ -54,14 +54,14 @@
             Settings settings,
             CallerKeys keys,
             VmChoice vmChoice,
-            ActionBook actionBook,
+            SharedActionLedger actionLedger,
             GenerateService generations,
             ActionService actionService,
             DrainGate drainGate) {
         this.settings = settings;
         this.keys = keys;
         this.vmChoice = vmChoice;
-        this.actionBook = actionBook;
+        this.actionLedger = actionLedger;
         this.generations = generations;
         this.actionService = actionService;
         this.drainGate = drainGate;
@@ -78,7 +78,7 @@
                             .addAllVms(vmChoice.preferenceOrder(root.root().hash().toString()))
                             .setValidForMs(LOCATION_VALID_MILLIS);
             if (!vmChoice.isDraining()) {
-                response.setActionPrefix(actionBook.prefix()).setActionVm(vmChoice.self());
+                response.setActionPrefix(actionLedger.prefix()).setActionVm(vmChoice.self());
             }
             observer.onNext(response.build());
             observer.onCompleted();
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/ClaimAcquirer.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/ClaimAcquirer.java
@@ -77,7 +77,7 @@
     }
 
     private Optional<VersionedObject> knownObject(String key) {
-        return control.ask(() -> state.configuration().object(key)).join();
+        return control.submit(() -> state.configuration().object(key)).join();
     }
 
     private Optional<VersionedObject> commit(Attempt attempt) {
@@ -90,7 +90,7 @@
     }
 
     private void onControlThread(LongConsumer callback, long version) {
-        control.ask(
+        control.submit(
                         () -> {
                             callback.accept(version);
                             return version;
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/LoadOrderService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/LoadOrderService.java
@@ -77,7 +77,7 @@
 
     @Override
     public void start() {
-        control.every(CHECK_INTERVAL_MILLIS, this::check);
+        control.scheduleWithFixedDelay(CHECK_INTERVAL_MILLIS, this::check);
     }
 
     private void check() {
@@ -100,7 +100,8 @@
         boolean vacant = current.filter(known -> !state.isDead(known.holder(), now)).isEmpty();
         boolean firstChoice = state.isFirstChoice(ObjectKeys.order(pool.getPool()), now);
         boolean acquire =
-                claim.isUnconfirmed() || vacant && firstChoice && platformWatch.isReachable();
+                claim.isUnconfirmed()
+                        || vacant && firstChoice && platformWatch.isPlatformReachable();
         if (acquire && state.freshness().isFresh(now) && acquiring.add(pool.getPool())) {
             Thread.ofVirtual().name(NAME).start(() -> acquire(pool.getPool(), current));
         }
@@ -152,8 +153,8 @@
                             + weightsVersion
                             + ", fencing "
                             + fencingToken);
-            client.order(endpoint, fencingToken, weightsVersion);
-            directory.report(endpoint, client.state(endpoint));
+            client.orderWeights(endpoint, fencingToken, weightsVersion);
+            directory.recordReport(endpoint, client.state(endpoint));
         } catch (RunnerException failed) {
             EventLog.warn(LogEvent.ORDER_FAILED, String.valueOf(failed.getMessage()));
         } finally {
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/RosterService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/RosterService.java
@@ -81,13 +81,13 @@
 
     @Override
     public void start() {
-        control.every(CHECK_INTERVAL_MILLIS, this::check);
+        control.scheduleWithFixedDelay(CHECK_INTERVAL_MILLIS, this::check);
     }
 
     private void check() {
         RosterEntry ownEntry = ownEntry();
         boolean upToDate = ownEntry.equals(state.catalog().roster().get(ownEntry.getVm()));
-        if (upToDate || state.isDraining() || !platformWatch.isReachable()) {
+        if (upToDate || state.isDraining() || !platformWatch.isPlatformReachable()) {
             return;
         }
         if (joining.compareAndSet(false, true)) {
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/ShareService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/ShareService.java
@@ -63,12 +63,14 @@
 
     @Override
     public void start() {
-        control.every(CHECK_INTERVAL_MILLIS, this::check);
+        control.scheduleWithFixedDelay(CHECK_INTERVAL_MILLIS, this::check);
     }
 
     private void check() {
         long now = System.nanoTime();
-        if (!platformWatch.isReachable() || state.isDraining() || !state.freshness().isFresh(now)) {
+        if (!platformWatch.isPlatformReachable()
+                || state.isDraining()
+                || !state.freshness().isFresh(now)) {
             return;
         }
         for (int group : groupsInUse()) {
@@ -138,7 +140,7 @@
      * now on this VM admits no request from them.
      */
     public List<ReleasedShare> releaseAll() {
-        return control.ask(this::releaseOnControlThread).join();
+        return control.submit(this::releaseOnControlThread).join();
     }
 
     private List<ReleasedShare> releaseOnControlThread() {
--- a/daemon/src/main/java/org/bronzelug/daemon/claim/SuccessorService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/claim/SuccessorService.java
@@ -10,8 +10,8 @@
 import org.bronzelug.api.peer.ShareLevels;
 import org.bronzelug.core.action.OwnershipPeriod;
 import org.bronzelug.core.membership.MemberIdentity;
-import org.bronzelug.daemon.action.ActionBook;
 import org.bronzelug.daemon.action.HandOverMessages;
+import org.bronzelug.daemon.action.SharedActionLedger;
 import org.bronzelug.daemon.control.ControlState;
 import org.bronzelug.daemon.control.ControlThread;
 import org.bronzelug.daemon.peer.PeerNetwork;
@@ -27,20 +27,23 @@
 public final class SuccessorService {
     private final ControlThread control;
     private final ControlState state;
-    private final ActionBook actions;
+    private final SharedActionLedger actions;
 
     @Inject
     public SuccessorService(
-            ControlThread control, ControlState state, ActionBook actions, PeerNetwork peers) {
+            ControlThread control,
+            ControlState state,
+            SharedActionLedger actions,
+            PeerNetwork peers) {
         this.control = control;
         this.state = state;
         this.actions = actions;
-        peers.handle(Envelope.BodyCase.HAND_OVER, this::receive);
+        peers.setHandler(Envelope.BodyCase.HAND_OVER, this::receive);
     }
 
     private CompletableFuture<Envelope.Builder> receive(Envelope envelope) {
         HandOver message = envelope.getHandOver();
-        return control.ask(
+        return control.submit(
                 () -> {
                     List<OwnershipPeriod> previousOwners = HandOverMessages.previousOwners(message);
                     actions.takeOwnership(
--- a/daemon/src/main/java/org/bronzelug/daemon/configuration/ObjectWriter.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/configuration/ObjectWriter.java
@@ -38,7 +38,7 @@
         record Committed(VersionedObject object) implements Outcome {}
 
         /** Another writer changed the object first; the value was not written. */
-        record Lost(long presentVersion) implements Outcome {}
+        record Conflict(long currentVersion) implements Outcome {}
 
         /** The platform did not respond in time, so the value may have been written. */
         record Unknown(String reason) implements Outcome {}
@@ -60,7 +60,7 @@
                             new Outcome.Committed(
                                     new VersionedObject(key, committed.version(), value));
                     case WriteResult.Conflict conflict ->
-                            resolveConflict(key, conflict.presentVersion(), attempt, isOwnValue);
+                            resolveConflict(key, conflict.currentVersion(), attempt, isOwnValue);
                 };
             } catch (PlatformException failed) {
                 reason = failed.getMessage();
@@ -72,15 +72,15 @@
     }
 
     private Outcome resolveConflict(
-            String key, long presentVersion, int attempt, Predicate<byte[]> isOwnValue)
+            String key, long currentVersion, int attempt, Predicate<byte[]> isOwnValue)
             throws PlatformException {
         if (attempt == 0) {
-            return new Outcome.Lost(presentVersion);
+            return new Outcome.Conflict(currentVersion);
         }
         Optional<VersionedObject> current = platform.get(key);
         if (current.isPresent() && isOwnValue.test(current.get().value())) {
             return new Outcome.Committed(current.get());
         }
-        return new Outcome.Lost(presentVersion);
+        return new Outcome.Conflict(currentVersion);
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/control/Announcer.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/Announcer.java
@@ -51,7 +51,7 @@
         PushObjects push =
                 PushObjects.newBuilder().addAllObjects(PeerMessages.toMessages(objects)).build();
         for (int attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
-            Announcement announcement = control.ask(() -> begin(objects)).join();
+            Announcement announcement = control.submit(() -> begin(objects)).join();
             runRound(
                     push,
                     announcement::confirmFirst,
--- a/daemon/src/main/java/org/bronzelug/daemon/control/ControlState.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/ControlState.java
@@ -222,7 +222,7 @@
         if (fresh != lastLoggedFresh) {
             lastLoggedFresh = fresh;
             String age =
-                    "configuration synchronized as of " + view.freshAsOfNanos() + ", now " + now;
+                    "configuration synchronized as of " + view.syncedAsOfNanos() + ", now " + now;
             if (fresh) {
                 EventLog.info(LogEvent.FRESHNESS_REGAINED, age);
             } else {
--- a/daemon/src/main/java/org/bronzelug/daemon/control/ControlThread.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/ControlThread.java
@@ -41,7 +41,7 @@
     public void start() {}
 
     /** Runs a task on the control thread and returns a future of its result. */
-    public <T> CompletableFuture<T> ask(Supplier<T> task) {
+    public <T> CompletableFuture<T> submit(Supplier<T> task) {
         return CompletableFuture.supplyAsync(task, executor);
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** Runs a task on the control thread repeatedly, with the given delay between two runs. */
-    public void every(long delayMillis, Runnable task) {
+    public void scheduleWithFixedDelay(long delayMillis, Runnable task) {
         executor.scheduleWithFixedDelay(
                 logFailures(task), delayMillis, delayMillis, TimeUnit.MILLISECONDS);
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/control/ControlView.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/ControlView.java
@@ -11,19 +11,20 @@
  * Immutable; replaced as a whole.
  *
  * @param catalog the configuration in force on this VM
- * @param settledSingle whether this VM has caught up and is the only VM of the roster, so that its
+ * @param caughtUpSingle whether this VM has caught up and is the only VM of the roster, so that its
  *     configuration never becomes stale
- * @param freshAsOfNanos the time as of which the catalog is synchronized: it contains all that was
+ * @param syncedAsOfNanos the time as of which the catalog is synchronized: it contains all that was
  *     in force then; empty before the first synchronization
- * @param limitNanos the staleness bound: the age of the catalog beyond which this VM stops serving
+ * @param stalenessBoundNanos the staleness bound: the age of the catalog beyond which this VM stops
+ *     serving
  * @param peers the other VMs of the roster, by name
  * @param successors the name of the successor of each incarnation that has stopped gracefully
  */
 public record ControlView(
         Catalog catalog,
-        boolean settledSingle,
-        OptionalLong freshAsOfNanos,
-        long limitNanos,
+        boolean caughtUpSingle,
+        OptionalLong syncedAsOfNanos,
+        long stalenessBoundNanos,
         Map<String, PeerView> peers,
         Map<MemberIdentity, String> successors) {
 
@@ -46,9 +47,9 @@
 
     /** Returns whether the catalog is certainly no older than the staleness bound. */
     public boolean isFresh(long nowNanos) {
-        return settledSingle
-                || freshAsOfNanos.isPresent()
-                        && nowNanos - freshAsOfNanos.getAsLong() <= limitNanos;
+        return caughtUpSingle
+                || syncedAsOfNanos.isPresent()
+                        && nowNanos - syncedAsOfNanos.getAsLong() <= stalenessBoundNanos;
     }
 
     /**
--- a/daemon/src/main/java/org/bronzelug/daemon/control/PlatformWatch.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/PlatformWatch.java
@@ -62,7 +62,7 @@
     }
 
     /** Returns whether the platform answered the last call. */
-    public boolean isReachable() {
+    public boolean isPlatformReachable() {
         return reachable;
     }
 
@@ -86,7 +86,7 @@
      * reachable.
      */
     private boolean shouldCallPlatform() {
-        return !reachable || control.ask(this::isWatcherOrNearlyStale).join();
+        return !reachable || control.submit(this::isWatcherOrNearlyStale).join();
     }
 
     private boolean isWatcherOrNearlyStale() {
@@ -105,7 +105,7 @@
         try {
             PlatformClient.Listing listing =
                     revision < 0 ? platform.list() : platform.watch(revision, WATCH_TIMEOUT_MILLIS);
-            control.ask(
+            control.submit(
                             () -> {
                                 state.install(listing.objects());
                                 state.recordPlatformRead(sentNanos);
--- a/daemon/src/main/java/org/bronzelug/daemon/control/ProbeService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/ProbeService.java
@@ -19,7 +19,7 @@
 import org.bronzelug.core.membership.MemberIndex;
 import org.bronzelug.core.membership.ProbeReport;
 import org.bronzelug.core.membership.ProbeTargets;
-import org.bronzelug.daemon.action.ActionBook;
+import org.bronzelug.daemon.action.SharedActionLedger;
 import org.bronzelug.daemon.peer.PeerNetwork;
 import org.bronzelug.daemon.settings.Settings;
 import org.bronzelug.kernel.Service;
@@ -43,7 +43,7 @@
     private final ControlThread control;
     private final ControlState state;
     private final PeerNetwork peers;
-    private final ActionBook actions;
+    private final SharedActionLedger actions;
     private final RandomGenerator random;
 
     @Inject
@@ -52,7 +52,7 @@
             ControlThread control,
             ControlState state,
             PeerNetwork peers,
-            ActionBook actions,
+            SharedActionLedger actions,
             RandomGenerator random) {
         this.settings = settings;
         this.control = control;
@@ -60,9 +60,9 @@
         this.peers = peers;
         this.actions = actions;
         this.random = random;
-        peers.handle(Envelope.BodyCase.PROBE, this::handleProbe);
-        peers.handle(Envelope.BodyCase.FETCH_OBJECTS, this::handleFetch);
-        peers.handle(Envelope.BodyCase.PUSH_OBJECTS, this::handlePush);
+        peers.setHandler(Envelope.BodyCase.PROBE, this::handleProbe);
+        peers.setHandler(Envelope.BodyCase.FETCH_OBJECTS, this::handleFetch);
+        peers.setHandler(Envelope.BodyCase.PUSH_OBJECTS, this::handlePush);
     }
 
     @Override
@@ -72,7 +72,7 @@
 
     @Override
     public void start() {
-        control.every(settings.limits().probeMillis(), this::probeRound);
+        control.scheduleWithFixedDelay(settings.limits().probeMillis(), this::probeRound);
     }
 
     private void probeRound() {
@@ -159,7 +159,7 @@
     }
 
     private CompletableFuture<Envelope.Builder> handleProbe(Envelope request) {
-        return control.ask(
+        return control.submit(
                 () -> {
                     long now = System.nanoTime();
                     long digest = state.configuration().digest();
@@ -192,7 +192,7 @@
     }
 
     private CompletableFuture<Envelope.Builder> handleFetch(Envelope request) {
-        return control.ask(
+        return control.submit(
                 () -> {
                     List<VersionedObject> found = new ArrayList<>();
                     for (String key : request.getFetchObjects().getKeysList()) {
@@ -207,7 +207,7 @@
     }
 
     private CompletableFuture<Envelope.Builder> handlePush(Envelope request) {
-        return control.ask(
+        return control.submit(
                 () -> {
                     state.install(
                             PeerMessages.toObjects(request.getPushObjects().getObjectsList()));
--- a/daemon/src/main/java/org/bronzelug/daemon/generate/GenerateService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/generate/GenerateService.java
@@ -74,7 +74,7 @@
         this.directory = directory;
         this.client = client;
         this.metrics = metrics;
-        directory.onReplaced(
+        directory.onRestarted(
                 endpoint -> queues.values().forEach(queue -> queue.clearCacheEstimate(endpoint)));
         directory.onChanged(() -> queues.values().forEach(ModelQueue::dispatch));
     }
@@ -156,13 +156,13 @@
         Admission admission =
                 rates.reserve(id, generation.team(), tokens, generation.deadlineNanos());
         switch (admission) {
-            case Admission.Granted granted -> metrics.admitted(generation.team());
+            case Admission.Granted granted -> metrics.countAdmitted(generation.team());
             case Admission.OverRate over -> {
-                metrics.overRate(generation.team());
+                metrics.countOverRate(generation.team());
                 throw overRate(over.retryAfterNanos());
             }
             case Admission.NotHeld notHeld -> {
-                metrics.rateUnavailable(generation.team());
+                metrics.countRateUnavailable(generation.team());
                 throw RejectionException.notRun(
                         ProblemCode.RATE_UNAVAILABLE,
                         "the VM that holds the team's rate is being replaced",
@@ -219,7 +219,7 @@
                     return result.get();
                 }
             } finally {
-                slot.endpoint().end();
+                slot.endpoint().recordEnded();
                 queue.release(slot.endpoint());
             }
             avoided.add(slot.endpoint().name());
@@ -345,7 +345,7 @@
         }
 
         @Override
-        public boolean chunk(int offset, String text) throws StreamGapException {
+        public boolean onChunk(int offset, String text) throws StreamGapException {
             recordPrefilled();
             if (generation.isCancelled()) {
                 return false;
@@ -353,7 +353,7 @@
             boolean first = generation.progress().textSoFar().isEmpty();
             if (generation.progress().accept(attempt.number(), offset, text)) {
                 if (first) {
-                    metrics.firstToken(generation.team(), System.nanoTime() - arrivalNanos);
+                    metrics.recordFirstToken(generation.team(), System.nanoTime() - arrivalNanos);
                 }
                 return generation.sink().send(offset, text);
             }
@@ -361,20 +361,20 @@
         }
 
         @Override
-        public void end(int runnerCachedTokens, EndpointReport report) {
+        public void onEnd(int runnerCachedTokens, EndpointReport report) {
             recordPrefilled();
             ended = generation.progress().finish(attempt.number());
             cachedTokens = runnerCachedTokens;
             queue.recordCompletion(slot, generation.chain(), runnerCachedTokens);
-            directory.report(slot.endpoint(), report);
-            metrics.prefilled(
+            directory.recordReport(slot.endpoint(), report);
+            metrics.recordPrefilled(
                     generation.chain().tokens(), runnerCachedTokens, attempt.number() > 1);
         }
 
         private void recordPrefilled() {
             if (!prefilled) {
                 prefilled = true;
-                slot.endpoint().prefilled(queuedTokens);
+                slot.endpoint().recordPrefilled(queuedTokens);
             }
         }
 
--- a/daemon/src/main/java/org/bronzelug/daemon/generate/ModelQueue.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/generate/ModelQueue.java
@@ -143,8 +143,8 @@
     }
 
     private void releaseUnused(Waiter waiter, Slot slot) {
-        slot.endpoint.prefilled(expectedPrefillTokens(waiter, slot.placement));
-        slot.endpoint.end();
+        slot.endpoint.recordPrefilled(expectedPrefillTokens(waiter, slot.placement));
+        slot.endpoint.recordEnded();
         release(slot.endpoint);
     }
 
@@ -205,7 +205,7 @@
         Placement placement = policy.choose(waiter.chain, loads, cacheEstimate, now).orElseThrow();
         Endpoint endpoint = free.get(placement.runner());
         slotsInUse.merge(endpoint, 1, Integer::sum);
-        endpoint.begin(expectedPrefillTokens(waiter, placement));
+        endpoint.recordSent(expectedPrefillTokens(waiter, placement));
         cacheEstimate.recordCached(placement.runner(), placement.incarnation(), waiter.chain, now);
         return new Slot(endpoint, placement);
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/limit/RateGate.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/limit/RateGate.java
@@ -44,8 +44,8 @@
         this.control = control;
         this.state = state;
         this.peers = peers;
-        peers.handle(Envelope.BodyCase.RESERVE, this::handleReserve);
-        peers.handle(Envelope.BodyCase.SETTLE, this::handleSettle);
+        peers.setHandler(Envelope.BodyCase.RESERVE, this::handleReserve);
+        peers.setHandler(Envelope.BodyCase.SETTLE, this::handleSettle);
     }
 
     /** Reserves tokens for a request; waits while the share moves, at most until the deadline. */
@@ -63,7 +63,7 @@
     private Admission tryReserve(String id, String team, double tokens) {
         Optional<String> address = addressOfHolder(team);
         if (address.isEmpty()) {
-            return control.ask(() -> reserveLocally(id, team, tokens)).join();
+            return control.submit(() -> reserveLocally(id, team, tokens)).join();
         }
         Reserve reserve = Reserve.newBuilder().setId(id).setTeam(team).setTokens(tokens).build();
         return peers.exchange(
@@ -121,7 +121,7 @@
 
     private CompletableFuture<Envelope.Builder> handleReserve(Envelope request) {
         Reserve reserve = request.getReserve();
-        return control.ask(
+        return control.submit(
                 () -> {
                     Admission admission =
                             reserveLocally(reserve.getId(), reserve.getTeam(), reserve.getTokens());
@@ -131,7 +131,7 @@
 
     private CompletableFuture<Envelope.Builder> handleSettle(Envelope request) {
         Settle settle = request.getSettle();
-        return control.ask(
+        return control.submit(
                 () -> {
                     state.shares()
                             .settle(
--- a/daemon/src/main/java/org/bronzelug/daemon/monitor/DaemonMetrics.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/monitor/DaemonMetrics.java
@@ -36,12 +36,12 @@
         return registry;
     }
 
-    public void admitted(String team) {
+    public void countAdmitted(String team) {
         registry.counter("admitted." + team).inc();
     }
 
     /** Counts a rejection because the team is beyond its rate. */
-    public void overRate(String team) {
+    public void countOverRate(String team) {
         registry.counter("refused_over_rate." + team).inc();
     }
 
@@ -49,12 +49,12 @@
      * Counts a rejection because the VM that holds the team's rate is unavailable. Such rejections
      * are counted as wrong, because the team may be within its rate.
      */
-    public void rateUnavailable(String team) {
+    public void countRateUnavailable(String team) {
         registry.counter("refused_within_rate." + team).inc();
     }
 
     /** Counts a response which says that the action may or may not have run. */
-    public void inDoubt(String team) {
+    public void countInDoubt(String team) {
         registry.counter("actions_in_doubt." + team).inc();
     }
 
@@ -67,7 +67,7 @@
     }
 
     /** Records the time from the arrival of a request to its first chunk. */
-    public void firstToken(String team, long nanos) {
+    public void recordFirstToken(String team, long nanos) {
         firstToken.update(nanos, TimeUnit.NANOSECONDS);
         firstTokenByTeam
                 .computeIfAbsent(team, name -> registry.timer("first_token." + name))
@@ -81,7 +81,7 @@
      * @param cached the tokens of the prompt that the runner had in its cache
      * @param moved whether an earlier attempt has prefilled the prompt already
      */
-    public void prefilled(int tokens, int cached, boolean moved) {
+    public void recordPrefilled(int tokens, int cached, boolean moved) {
         promptTokens.inc(tokens);
         cachedTokens.inc(cached);
         if (moved) {
--- a/daemon/src/main/java/org/bronzelug/daemon/operator/ChangeService.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/operator/ChangeService.java
@@ -69,7 +69,8 @@
                 case ObjectWriter.Outcome.Committed committed -> {
                     return announce(committed.object(), edit);
                 }
-                case ObjectWriter.Outcome.Lost conflict -> lastVersion = conflict.presentVersion();
+                case ObjectWriter.Outcome.Conflict conflict ->
+                        lastVersion = conflict.currentVersion();
                 case ObjectWriter.Outcome.Unknown unknown -> {
                     return problem(key, ProblemCode.CHANGE_IN_DOUBT, unknown.reason(), 0);
                 }
--- a/daemon/src/main/java/org/bronzelug/daemon/operator/StatusReporter.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/operator/StatusReporter.java
@@ -62,7 +62,7 @@
                         .setServing(view.isFresh(now) && !state.isDraining())
                         .setFreshnessMs(freshness(view, now))
                         .setPlatformCalls(platform.calls())
-                        .setPlatformReachable(watch.isReachable());
+                        .setPlatformReachable(watch.isPlatformReachable());
         view.catalog().roster().values().stream()
                 .sorted(java.util.Comparator.comparing(RosterEntry::getVm))
                 .forEach(entry -> response.addVms(vmStatus(entry, view, now)));
@@ -74,11 +74,11 @@
     }
 
     private static long freshness(ControlView view, long now) {
-        if (view.settledSingle()) {
+        if (view.caughtUpSingle()) {
             return 0;
         }
-        return view.freshAsOfNanos().isPresent()
-                ? TimeUnit.NANOSECONDS.toMillis(now - view.freshAsOfNanos().getAsLong())
+        return view.syncedAsOfNanos().isPresent()
+                ? TimeUnit.NANOSECONDS.toMillis(now - view.syncedAsOfNanos().getAsLong())
                 : -1;
     }
 
@@ -133,6 +133,6 @@
     }
 
     private double tokensHere(String team, long now) {
-        return control.ask(() -> state.shares().tokens(team, now).orElse(0.0)).join();
+        return control.submit(() -> state.shares().tokens(team, now).orElse(0.0)).join();
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/peer/PeerNetwork.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/peer/PeerNetwork.java
@@ -52,7 +52,7 @@
     }
 
     /** Sets the handler for requests of one kind. Must be called before {@link #start}. */
-    public void handle(Envelope.BodyCase kind, PeerHandler handler) {
+    public void setHandler(Envelope.BodyCase kind, PeerHandler handler) {
         handlers.put(kind, handler);
     }
 
--- a/daemon/src/main/java/org/bronzelug/daemon/platform/WriteResult.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/platform/WriteResult.java
@@ -6,5 +6,5 @@
     record Committed(long version) implements WriteResult {}
 
     /** The object has another version than expected, so nothing was written. */
-    record Conflict(long presentVersion) implements WriteResult {}
+    record Conflict(long currentVersion) implements WriteResult {}
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/runner/CompletionListener.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/runner/CompletionListener.java
@@ -9,7 +9,7 @@
      *
      * @return whether to read on; false ends the completion without an error
      */
-    boolean chunk(int offset, String text) throws StreamGapException;
+    boolean onChunk(int offset, String text) throws StreamGapException;
 
     /**
      * Called once, when the stream is complete.
@@ -17,5 +17,5 @@
      * @param cachedTokens prompt tokens that the runner had in its cache
      * @param report the runner's state at the end of the stream
      */
-    void end(int cachedTokens, EndpointReport report);
+    void onEnd(int cachedTokens, EndpointReport report);
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/runner/Endpoint.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/runner/Endpoint.java
@@ -91,17 +91,19 @@
      *
      * @param queuedTokens prompt tokens that the endpoint must prefill for it
      */
-    public synchronized void begin(int queuedTokens) {
+    public synchronized void recordSent(int queuedTokens) {
         estimate.recordSent(queuedTokens);
     }
 
-    /** Records that the prefill of a request is done; takes the same tokens as {@link #begin}. */
-    public synchronized void prefilled(int queuedTokens) {
+    /**
+     * Records that the prefill of a request is done; takes the same tokens as {@link #recordSent}.
+     */
+    public synchronized void recordPrefilled(int queuedTokens) {
         estimate.recordPrefilled(queuedTokens);
     }
 
     /** Records that a request has ended. */
-    public synchronized void end() {
+    public synchronized void recordEnded() {
         estimate.recordEnded();
         served.incrementAndGet();
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/runner/EndpointDirectory.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/runner/EndpointDirectory.java
@@ -59,14 +59,14 @@
 
     @Override
     public void start() {
-        control.every(POLL_MILLIS, this::pollAll);
+        control.scheduleWithFixedDelay(POLL_MILLIS, this::pollAll);
     }
 
     /**
      * Adds a listener for endpoints that have restarted, and so lost their cache. Must be called
      * before {@link #start}.
      */
-    public void onReplaced(Consumer<Endpoint> listener) {
+    public void onRestarted(Consumer<Endpoint> listener) {
         restartListeners.add(listener);
     }
 
@@ -140,7 +140,7 @@
 
     private void poll(Endpoint endpoint) {
         try {
-            report(endpoint, client.state(endpoint));
+            recordReport(endpoint, client.state(endpoint));
         } catch (RunnerException failed) {
             down(endpoint, failed.getMessage());
         } finally {
@@ -149,7 +149,7 @@
     }
 
     /** Records the report of an endpoint, from a poll or from a response. */
-    public void report(Endpoint endpoint, EndpointReport report) {
+    public void recordReport(Endpoint endpoint, EndpointReport report) {
         boolean wasLive = endpoint.isLive();
         if (endpoint.update(report)) {
             EventLog.warn(LogEvent.RUNNER_REPLACED, "endpoint " + endpoint.name());
--- a/daemon/src/main/java/org/bronzelug/daemon/runner/RunnerClient.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/runner/RunnerClient.java
@@ -106,10 +106,10 @@
                         endpoint.name() + " reported that the generation was cancelled", false);
             }
             if (node.path("end").asBoolean(false)) {
-                listener.end(node.path("cached_tokens").asInt(), toReport(node));
+                listener.onEnd(node.path("cached_tokens").asInt(), toReport(node));
                 return;
             }
-            if (!listener.chunk(node.path("offset").asInt(), node.path("text").asText())) {
+            if (!listener.onChunk(node.path("offset").asInt(), node.path("text").asText())) {
                 return;
             }
         }
@@ -141,7 +141,8 @@
     }
 
     /** Orders a runner to load weights. Returns when the runner has loaded them. */
-    public void order(Endpoint endpoint, long fencing, long weightsVersion) throws RunnerException {
+    public void orderWeights(Endpoint endpoint, long fencing, long weightsVersion)
+            throws RunnerException {
         ObjectNode order = JSON.createObjectNode();
         order.put("fencing", fencing);
         order.put("weights_version", weightsVersion);
@@ -163,7 +164,7 @@
      * @param timeoutMillis the time after which the outcome of the action is in doubt
      * @return the body of the response
      */
-    public byte[] act(
+    public byte[] runAction(
             Endpoint endpoint,
             String method,
             Optional<String> actionId,
--- a/daemon/src/main/java/org/bronzelug/daemon/settings/LimitField.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/settings/LimitField.java
@@ -38,7 +38,7 @@
     }
 
     /** Returns the value that applies if the settings do not contain the field. */
-    public long usual() {
+    public long defaultValue() {
         return defaultValue;
     }
 }
--- a/daemon/src/main/java/org/bronzelug/daemon/settings/SettingsReader.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/settings/SettingsReader.java
@@ -136,7 +136,7 @@
     private long number(JsonNode node, LimitField field) throws SettingsException {
         JsonNode value = node.path(field.fieldName());
         if (value.isMissingNode()) {
-            return field.usual();
+            return field.defaultValue();
         }
         boolean valid =
                 value.isIntegralNumber()
--- a/daemon/src/test/java/org/bronzelug/daemon/CallerInputTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/CallerInputTest.java
@@ -48,7 +48,7 @@
 
     @Test
     void oversizedRequestIsRejectedAndOtherCallersAreServed() throws Exception {
-        int oversizedBytes = (int) LimitField.MAXIMUM_REQUEST_BYTES.usual() + 1;
+        int oversizedBytes = (int) LimitField.MAXIMUM_REQUEST_BYTES.defaultValue() + 1;
         RunActionRequest request =
                 fleet.refundRequest("vm-1", key, "large").toBuilder()
                         .setBody(ByteString.copyFrom(new byte[oversizedBytes]))
--- a/daemon/src/test/java/org/bronzelug/daemon/PagesTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/PagesTest.java
@@ -68,7 +68,10 @@
             expected.add(
                     String.format(
                             "`limits.%s` | %,d–%,d; %,d",
-                            field.fieldName(), field.minimum(), field.maximum(), field.usual()));
+                            field.fieldName(),
+                            field.minimum(),
+                            field.maximum(),
+                            field.defaultValue()));
         }
         assertThat(matches("^\\| (`limits\\.\\w+` \\| [\\d,–; ]+) \\|", page("SETTINGS.md")))
                 .containsExactlyElementsIn(expected);
--- a/daemon/src/test/java/org/bronzelug/daemon/TestFleet.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/TestFleet.java
@@ -121,16 +121,16 @@
                 folder.resolve("peer-secret").toString(),
                 secretFile.toString(),
                 new Settings.Limits(
-                        LimitField.FRESHNESS_MILLIS.usual(),
+                        LimitField.FRESHNESS_MILLIS.defaultValue(),
                         50,
-                        LimitField.REQUEST_DEADLINE_MILLIS.usual(),
+                        LimitField.REQUEST_DEADLINE_MILLIS.defaultValue(),
                         700,
-                        LimitField.DRAIN_MILLIS.usual(),
+                        LimitField.DRAIN_MILLIS.defaultValue(),
                         100,
-                        (int) LimitField.STREAMS_PER_RUNNER.usual(),
-                        (int) LimitField.WAITING_REQUESTS.usual(),
-                        (int) LimitField.MAXIMUM_REQUEST_BYTES.usual(),
-                        (int) LimitField.MAXIMUM_PEER_FRAME_BYTES.usual()));
+                        (int) LimitField.STREAMS_PER_RUNNER.defaultValue(),
+                        (int) LimitField.WAITING_REQUESTS.defaultValue(),
+                        (int) LimitField.MAXIMUM_REQUEST_BYTES.defaultValue(),
+                        (int) LimitField.MAXIMUM_PEER_FRAME_BYTES.defaultValue()));
     }
 
     /**
--- a/daemon/src/test/java/org/bronzelug/daemon/generate/ModelQueueTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/generate/ModelQueueTest.java
@@ -74,7 +74,7 @@
                         awaitState(waiter, Thread.State.BLOCKED);
                     }
                 });
-        held.endpoint().end();
+        held.endpoint().recordEnded();
         queue.release(held.endpoint());
         onUsableLookup.set(() -> {});
     }
@@ -127,7 +127,7 @@
         cancelled.complete(null);
         waiter.join();
         assertThat(rejected.get().problem().getCode()).isEqualTo("CANCELLED");
-        held.endpoint().end();
+        held.endpoint().recordEnded();
         queue.release(held.endpoint());
         assertSlotReleased();
     }
@@ -200,7 +200,7 @@
 
     private ModelQueue.Slot acquireFirstSlot() throws Exception {
         ModelQueue.Slot slot = acquire(deadlineInSeconds(30), neverCancelled);
-        endpoint.prefilled(ModelQueue.expectedPrefillTokens(CHAIN, slot.placement()));
+        endpoint.recordPrefilled(ModelQueue.expectedPrefillTokens(CHAIN, slot.placement()));
         return slot;
     }
 }
--- a/daemon/src/test/java/org/bronzelug/daemon/settings/SettingsReaderTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/settings/SettingsReaderTest.java
@@ -44,7 +44,7 @@
         assertThat(settings.vm()).isEqualTo("wien-nord-1");
         assertThat(settings.limits().drainMillis()).isEqualTo(5);
         assertThat(settings.limits().freshnessMillis())
-                .isEqualTo(LimitField.FRESHNESS_MILLIS.usual());
+                .isEqualTo(LimitField.FRESHNESS_MILLIS.defaultValue());
     }
 
     @ParameterizedTest
--- a/tools/src/test/java/org/bronzelug/client/RouterClientTest.java
+++ b/tools/src/test/java/org/bronzelug/client/RouterClientTest.java
@@ -100,16 +100,16 @@
                 folder.resolve("peers").toString(),
                 folder.resolve("operators").toString(),
                 new Settings.Limits(
-                        LimitField.FRESHNESS_MILLIS.usual(),
-                        LimitField.PROBE_MILLIS.usual(),
-                        LimitField.REQUEST_DEADLINE_MILLIS.usual(),
-                        LimitField.RUNNER_SILENCE_MILLIS.usual(),
-                        LimitField.DRAIN_MILLIS.usual(),
+                        LimitField.FRESHNESS_MILLIS.defaultValue(),
+                        LimitField.PROBE_MILLIS.defaultValue(),
+                        LimitField.REQUEST_DEADLINE_MILLIS.defaultValue(),
+                        LimitField.RUNNER_SILENCE_MILLIS.defaultValue(),
+                        LimitField.DRAIN_MILLIS.defaultValue(),
                         0,
-                        (int) LimitField.STREAMS_PER_RUNNER.usual(),
-                        (int) LimitField.WAITING_REQUESTS.usual(),
-                        (int) LimitField.MAXIMUM_REQUEST_BYTES.usual(),
-                        (int) LimitField.MAXIMUM_PEER_FRAME_BYTES.usual()));
+                        (int) LimitField.STREAMS_PER_RUNNER.defaultValue(),
+                        (int) LimitField.WAITING_REQUESTS.defaultValue(),
+                        (int) LimitField.MAXIMUM_REQUEST_BYTES.defaultValue(),
+                        (int) LimitField.MAXIMUM_PEER_FRAME_BYTES.defaultValue()));
     }
 
     private String createTeamWithPool() {
