--- a/core/src/main/java/org/bronzelug/core/key/KeyDigest.java
+++ b/core/src/main/java/org/bronzelug/core/key/KeyDigest.java
@@ -22,8 +22,7 @@
             byte[] digest = sha256.digest(key.getBytes(StandardCharsets.UTF_8));
             return new KeyDigest(HexFormat.of().formatHex(digest));
         } catch (NoSuchAlgorithmException unavailable) {
-            throw new IllegalStateException(
-                    "SHA-256 is not available; every Java platform must provide it", unavailable);
+            throw new IllegalStateException("the Java runtime has no SHA-256", unavailable);
         }
     }
 
--- a/core/src/main/java/org/bronzelug/core/routing/EndpointEntry.java
+++ b/core/src/main/java/org/bronzelug/core/routing/EndpointEntry.java
@@ -7,7 +7,7 @@
  *
  * @param id id of this incarnation of the endpoint
  * @param pool the pool to which the endpoint belongs
- * @param address IP:PORT
+ * @param address IP:port
  * @param availabilityZone the zone in which the endpoint runs
  * @param slots requests that the endpoint serves concurrently
  * @param draining whether the endpoint is leaving and accepts no new requests
--- a/daemon/src/main/java/org/bronzelug/daemon/Daemon.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/Daemon.java
@@ -91,7 +91,7 @@
         return component.controlState().view();
     }
 
-    /** Returns whether the platform answered the last call. */
+    /** Returns whether the platform responded to the last call. */
     public boolean isPlatformUp() {
         return component.platformWatch().isPlatformReachable();
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/control/PlatformWatch.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/control/PlatformWatch.java
@@ -61,7 +61,7 @@
         thread = Thread.ofVirtual().name(NAME).start(this::loop);
     }
 
-    /** Returns whether the platform answered the last call. */
+    /** Returns whether the platform responded to the last call. */
     public boolean isPlatformReachable() {
         return reachable;
     }
--- a/daemon/src/main/java/org/bronzelug/daemon/peer/PeerSecret.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/peer/PeerSecret.java
@@ -67,7 +67,7 @@
             mac.update(connectorNonce.toByteArray());
             return ByteString.copyFrom(mac.doFinal());
         } catch (GeneralSecurityException missing) {
-            throw new IllegalStateException("every Java platform has " + ALGORITHM, missing);
+            throw new IllegalStateException("the Java runtime has no " + ALGORITHM, missing);
         }
     }
 
--- a/daemon/src/main/java/org/bronzelug/daemon/platform/WriteResult.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/platform/WriteResult.java
@@ -1,6 +1,6 @@
 package org.bronzelug.daemon.platform;
 
-/** The result of a conditional write that the platform answered. Immutable. */
+/** The result of a conditional write to which the platform responded. Immutable. */
 public sealed interface WriteResult {
     /** The value was committed and has this version. */
     record Committed(long version) implements WriteResult {}
--- a/daemon/src/test/java/org/bronzelug/daemon/EndpointFailureTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/EndpointFailureTest.java
@@ -93,7 +93,7 @@
             long orders = runner.log().stream().filter(l -> l.startsWith("order ")).count();
             assertThat(orders).isEqualTo(1);
         }
-        assertThat(ModelRunnerStandin.mostLoadsAtOnce()).isAtMost(2);
+        assertThat(ModelRunnerStandin.maximumConcurrentLoads()).isAtMost(2);
     }
 
     /**
--- a/router/src/main/java/org/bronzelug/router/control/ControlService.java
+++ b/router/src/main/java/org/bronzelug/router/control/ControlService.java
@@ -189,7 +189,7 @@
     /**
      * The address at which one VM serves callers.
      *
-     * @param address IP:PORT
+     * @param address IP:port
      * @param availabilityZone of the VM
      */
     public record CallersAddress(String address, String availabilityZone) {}
--- a/router/src/main/java/org/bronzelug/router/fleet/FleetGossip.java
+++ b/router/src/main/java/org/bronzelug/router/fleet/FleetGossip.java
@@ -56,7 +56,7 @@
     private Optional<Channel> channel = Optional.empty();
 
     /**
-     * @param address IP:PORT that this VM listens on
+     * @param address IP:port that this VM listens on
      * @param onState receives the state updates of peers and the time of their arrival, by the
      *     local monotonic clock
      */
--- a/router/src/main/java/org/bronzelug/router/http/SocketSettings.java
+++ b/router/src/main/java/org/bronzelug/router/http/SocketSettings.java
@@ -36,7 +36,7 @@
                 .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), PROBES);
     }
 
-    /** Parses IP:PORT; an IP address needs no name lookup. */
+    /** Parses IP:port; an IP address needs no name lookup. */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(
--- a/router/src/main/java/org/bronzelug/router/settings/VmSettings.java
+++ b/router/src/main/java/org/bronzelug/router/settings/VmSettings.java
@@ -7,8 +7,8 @@
  *
  * @param vm name of the VM
  * @param availabilityZone where the VM runs
- * @param callersAddress where the VM serves callers, IP:PORT
- * @param peersAddress where the VM receives state updates and reads of peers, IP:PORT
+ * @param callersAddress where the VM serves callers, IP:port
+ * @param peersAddress where the VM receives state updates and reads of peers, IP:port
  * @param seedAddresses addresses where peers may listen; some may be wrong
  * @param fleetStarts whether the whole fleet starts for the first time
  * @param bounds bounds of the fleet
--- a/router/src/main/java/org/bronzelug/router/traffic/EndpointChoice.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/EndpointChoice.java
@@ -37,7 +37,7 @@
     private static final int PREFIXES_PER_RUNNER = 256;
 
     /** Cached prefixes that were not used for this long are assumed to be evicted. */
-    private static final long CACHE_ESTIMATE_NANOS = 20_000_000_000L;
+    private static final long CACHE_ENTRY_LIFETIME_NANOS = 20_000_000_000L;
 
     /** Cost of each stream in the runner's batch: it lengthens every decoding step a little. */
     private static final double NANOS_PER_STREAM = 50_000;
@@ -67,7 +67,7 @@
     private final String availabilityZone;
     private final long olderWeightsLimitNanos;
     private final CacheEstimate cacheEstimate =
-            new CacheEstimate(PREFIXES_PER_RUNNER, CACHE_ESTIMATE_NANOS, System.nanoTime());
+            new CacheEstimate(PREFIXES_PER_RUNNER, CACHE_ENTRY_LIFETIME_NANOS, System.nanoTime());
     private final PrefixReads prefixReads = new PrefixReads();
     private Map<String, WeightsTarget> weightsTargets = Map.of();
 
--- a/standin/src/main/java/org/bronzelug/standin/ModelRunnerStandin.java
+++ b/standin/src/main/java/org/bronzelug/standin/ModelRunnerStandin.java
@@ -229,7 +229,7 @@
     }
 
     /** Returns the maximum number of concurrent weight loads, over all runners of this process. */
-    public static int mostLoadsAtOnce() {
+    public static int maximumConcurrentLoads() {
         return MAXIMUM_LOADS.get();
     }
 
--- a/tools/src/main/java/org/bronzelug/client/Channels.java
+++ b/tools/src/main/java/org/bronzelug/client/Channels.java
@@ -9,7 +9,7 @@
 public final class Channels implements AutoCloseable {
     private final Map<String, ManagedChannel> channels = new ConcurrentHashMap<>();
 
-    /** Returns the channel to the VM at an address of the form "IP:port". */
+    /** Returns the channel to the VM at an address of the form {@code IP:port}. */
     public ManagedChannel to(String address) {
         return channels.computeIfAbsent(
                 address,
