--- a/core/src/main/java/org/bronzelug/core/action/ActionLedger.java
+++ b/core/src/main/java/org/bronzelug/core/action/ActionLedger.java
@@ -57,7 +57,7 @@
         return ActionId.prefix(self, period(nowNanos));
     }
 
-    /** Decides on one arrival of a call. */
+    /** Decides what to do with a call that has arrived. */
     public ActionDecision begin(ActionId id, String team, String bodyDigest, long nowNanos) {
         purge(nowNanos);
         if (!owns(id.owner())) {
@@ -168,9 +168,9 @@
      * Takes ownership of the ids of a VM that has closed its ledger.
      *
      * @param previousOwners the incarnation that stops and those whose ids it owned, with their
-     *     periods at the transfer. Counting continues from these, so that this ledger can tell
-     *     which ids may have had a record that was deleted before the transfer.
-     * @param transferred the records of that VM, in one or more parts
+     *     periods at the transfer. This ledger counts on from these periods, so that it can
+     *     determine which ids may have had a record that was deleted before the transfer.
+     * @param transferred all records of that VM, or one part of them
      * @param complete whether this is the last part. Until then, calls without a record whose ids
      *     belong to any of {@code previousOwners} are in doubt, since a record that is still to
      *     come may show that they ran.
--- a/core/src/main/java/org/bronzelug/core/limit/EndpointLimit.java
+++ b/core/src/main/java/org/bronzelug/core/limit/EndpointLimit.java
@@ -97,7 +97,10 @@
         return limit;
     }
 
-    /** Returns when the response arrived that advertised the current limit, or none. */
+    /**
+     * Returns the arrival time of the latest response that showed the current limit, or its
+     * absence.
+     */
     public long observedNanos() {
         return observedNanos;
     }
@@ -177,8 +180,8 @@
     /** Records the usage that a peer has published. */
     public void recordPeer(String vm, String incarnation, Usage usage, long nowNanos) {
         if (isAdvertised()) {
-            // Not started together: whichever VM started first, the peer may have counted requests
-            // long before this VM learned of the limit.
+            // Whichever VM started first, the two did not start to count together: the peer may
+            // have counted requests long before this VM learned of the limit.
             bucket.recordPeer(
                     new PeerBucketUsage(
                             vm,
--- a/core/src/main/java/org/bronzelug/core/limit/FleetBucket.java
+++ b/core/src/main/java/org/bronzelug/core/limit/FleetBucket.java
@@ -64,8 +64,8 @@
     /**
      * Takes the whole amount or nothing.
      *
-     * @param draw random number, uniform in [0, 1), that must be below the fraction of requests to
-     *     admit
+     * @param draw random number, uniform in [0, 1); the request is admitted only if the number is
+     *     below the fraction of requests to admit
      */
     public boolean tryAcquire(long amount, double draw, long nowNanos) {
         recordDemand(amount, nowNanos);
--- a/core/src/main/java/org/bronzelug/core/limit/RateShares.java
+++ b/core/src/main/java/org/bronzelug/core/limit/RateShares.java
@@ -12,16 +12,17 @@
  *
  * <p>Teams are hashed into groups. The rates of a group's teams form one share, from which one VM
  * at a time admits. Which VM holds a share is decided by a claim: exclusive ownership with a
- * fencing number, without expiry (see {@link ExclusiveClaim}). Its holder may transfer it to a
- * successor, with the tokens left; another VM may also take ownership without its cooperation.
+ * fencing token, without expiry (see {@link ExclusiveClaim}). Its holder may transfer it to a
+ * successor, with the tokens left; another VM may also take ownership without the holder's
+ * cooperation.
  *
  * <p>Invariant: a bucket exists only on the VM that may use the claim of the team's group, and
  * after ownership is taken without a transfer it starts empty. Therefore all VMs together admit at
  * most {@code rate * t + burst} in any interval of length t.
  *
  * <p>The alternative, splitting each team's rate among several VMs, would reject requests that one
- * central bucket would admit, and would need transfers of tokens that can get lost (DESIGN.md
- * "Rates").
+ * central bucket would admit, and would transfer tokens between VMs in messages that can get lost
+ * (DESIGN.md "Rates").
  *
  * <p>Not thread-safe: owned by the control thread.
  */
@@ -33,13 +34,13 @@
     private static final long CLAIM_MOVE_NANOS = 1_000_000_000L;
 
     private final MemberIdentity self;
-    private final long freshnessLimitNanos;
+    private final long stalenessBoundNanos;
     private final Map<Integer, ExclusiveClaim> claims = new HashMap<>();
     private final Map<String, TokenBucket> buckets = new HashMap<>();
 
-    public RateShares(MemberIdentity self, long freshnessLimitNanos) {
+    public RateShares(MemberIdentity self, long stalenessBoundNanos) {
         this.self = self;
-        this.freshnessLimitNanos = freshnessLimitNanos;
+        this.stalenessBoundNanos = stalenessBoundNanos;
     }
 
     /** Returns the group of a team, which is the same on every VM. */
@@ -49,10 +50,13 @@
 
     public ExclusiveClaim claim(int group) {
         return claims.computeIfAbsent(
-                group, ignored -> new ExclusiveClaim(self, freshnessLimitNanos));
+                group, ignored -> new ExclusiveClaim(self, stalenessBoundNanos));
     }
 
-    /** Records the holder in the group's object; a newer version drops the group's buckets here. */
+    /**
+     * Records the holder that the group's object names. If the version is newer, drops this VM's
+     * buckets of the group.
+     */
     public void observe(int group, long version, MemberIdentity holder) {
         ExclusiveClaim claim = claim(group);
         if (version > claim.version()) {
@@ -70,7 +74,7 @@
         claim(group).recordAcquisition(version, hadHolder);
     }
 
-    /** Records that a majority of the VMs knows this VM as the holder. */
+    /** Records that a majority of the VMs has confirmed this VM as the holder. */
     public void confirm(int group, long version, long nowNanos) {
         claim(group).confirm(version, nowNanos);
     }
--- a/core/src/test/java/org/bronzelug/core/membership/FreshnessTest.java
+++ b/core/src/test/java/org/bronzelug/core/membership/FreshnessTest.java
@@ -80,8 +80,8 @@
 
     /**
      * Guards against a restarted VM that treats its previous incarnation as living because it sees
-     * its own name. When all VMs restarted, it was the first choice for the shares of its previous
-     * incarnation and kept every VM from acquiring them.
+     * its own name. When all VMs restarted, that VM was the first choice for the shares of its
+     * previous incarnation, did not acquire them, and kept the other VMs from acquiring them.
      */
     @Test
     void previousIncarnationOfThisVmIsDead() {
--- a/core/src/test/java/org/bronzelug/core/order/RolloutPlanTest.java
+++ b/core/src/test/java/org/bronzelug/core/order/RolloutPlanTest.java
@@ -20,7 +20,7 @@
     void noRunnerStaysOutdatedWhileVersionsFollowFast() {
         long[] versions = new long[RUNNERS];
         for (long newest = 1; newest <= 20; newest++) {
-            // Only half of the runners are reached before the next version is published.
+            // Only half of the runners load a version before the next one is published.
             for (RolloutTarget target : RolloutPlan.next(targets(versions), newest)) {
                 versions[Integer.parseInt(target.endpoint())] = newest;
             }
--- a/core/src/test/java/org/bronzelug/core/placement/PromptAdmissionTest.java
+++ b/core/src/test/java/org/bronzelug/core/placement/PromptAdmissionTest.java
@@ -41,7 +41,7 @@
     /**
      * For 8 seconds, prompts arrive a quarter faster than 5 runners prefill them; callers of
      * rejected prompts retry once, after the given delay. With admission control, more callers get
-     * their first token in time, among them at least 9 of 10 urgent ones.
+     * their first token in time than without it, and at least 9 of 10 urgent callers do.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
--- a/daemon/src/main/java/org/bronzelug/daemon/Drain.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/Drain.java
@@ -97,7 +97,7 @@
     }
 
     /**
-     * Returns the VM to transfer to, or an empty list if none is available; a VM of the same
+     * Returns a list of the one VM to transfer to, empty if none is available; a VM of the same
      * availability zone is preferred. Only one VM is tried: it may have received the transfer even
      * if its answer is lost, and there must not be two successors.
      */
--- a/daemon/src/main/java/org/bronzelug/daemon/caller/CallerKeys.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/caller/CallerKeys.java
@@ -16,9 +16,9 @@
  * Authenticates callers: maps the digest of a key to the team that the key belongs to now.
  *
  * <p>Invariant: only the digest of a key leaves {@link HeaderInterceptor}, and a team is returned
- * only while this VM's configuration is certainly younger than the freshness limit. So a withdrawn
- * key is rejected at each call, also on connections that are already open and on a VM that is cut
- * off from the platform and its peers. Thread-safe.
+ * only while this VM's configuration is certainly within the staleness bound. So a withdrawn key is
+ * rejected at each call, also on connections that are already open and on a VM that is cut off from
+ * the platform and its peers. Thread-safe.
  */
 @Singleton
 public final class CallerKeys {
--- a/daemon/src/main/java/org/bronzelug/daemon/generate/ProblemCode.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/generate/ProblemCode.java
@@ -4,7 +4,7 @@
 public enum ProblemCode {
     /** The key is unknown or withdrawn. */
     KEY_REFUSED,
-    /** The team is beyond its rate. */
+    /** The team exceeds its rate. */
     OVER_RATE,
     /** The request alone exceeds the team's burst. */
     EXCEEDS_BURST,
--- a/daemon/src/main/java/org/bronzelug/daemon/monitor/MonitorServer.java
+++ b/daemon/src/main/java/org/bronzelug/daemon/monitor/MonitorServer.java
@@ -20,7 +20,7 @@
 /** HTTP server for the health check at /health and the metrics at /metrics. Thread-safe. */
 @Singleton
 public final class MonitorServer implements Service {
-    /** The name of this service in the kernel. */
+    /** The name under which this service is registered with the kernel. */
     public static final String NAME = "monitor";
 
     private static final int SERVICE_UNAVAILABLE = 503;
--- a/daemon/src/test/java/org/bronzelug/daemon/EndpointFailureTest.java
+++ b/daemon/src/test/java/org/bronzelug/daemon/EndpointFailureTest.java
@@ -99,7 +99,7 @@
     /**
      * Guards against an outdated order: the holder is cut off from the platform and its peers,
      * another VM takes ownership and gives a new order, then the previous holder reconnects. Its
-     * old order must not be repeated, even to endpoints that ignore fencing numbers.
+     * old order must not be repeated, even to endpoints that ignore fencing tokens.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -158,7 +158,7 @@
 
     /**
      * Guards against orders of two holders at once: the holder dies, and the next one must wait
-     * until the previous one has certainly stopped, then give orders with a higher fencing number.
+     * until the previous one has certainly stopped, then give orders with a higher fencing token.
      */
     @Test
     void nextHolderGivesOrdersWithHigherFencingNumber() throws Exception {
--- a/router/src/main/java/org/bronzelug/router/control/ControlService.java
+++ b/router/src/main/java/org/bronzelug/router/control/ControlService.java
@@ -38,8 +38,8 @@
     public static final String NAME = "control";
 
     /**
-     * Time after a start of this VM in which requests may still begin on older weights, margin
-     * included.
+     * Time after the start of this VM for which requests may still begin on older weights,
+     * including a safety margin.
      */
     private static final long INITIAL_WEIGHTS_MILLIS = 3_000;
 
@@ -146,8 +146,8 @@
     }
 
     /**
-     * Registers gauges for the known state of the platform and for the time that its calls have
-     * been waiting for a response.
+     * Registers gauges for this VM's copy of the platform's objects and for the time that calls to
+     * the platform have been waiting for a response.
      */
     public void addMetrics(RouterMetrics metrics) {
         metrics.gauge(
@@ -248,8 +248,8 @@
     /**
      * Sends all VMs the usage of teams that are near their limit and of endpoints that advertise a
      * limit. Without this, a flood is admitted at several times its team's rate: in a large fleet
-     * each VM sends to any other VM only about once a second, and until then all of them together
-     * admit it.
+     * each VM sends to any other VM only about once a second, and until then the VMs together admit
+     * the flood.
      */
     private void sendContendedUsage() {
         if (FleetGossip.isSmall(fleetSize())) {
@@ -294,8 +294,8 @@
     }
 
     /**
-     * Returns the requests of all VMs in flight at each endpoint, without endpoints that do not
-     * respond to this VM.
+     * Returns the number of requests in flight, from all VMs, at each endpoint; omits endpoints
+     * that do not respond to this VM.
      */
     private Map<String, Integer> fleetLoad() {
         Map<String, Integer> requests = new HashMap<>();
@@ -400,7 +400,7 @@
         peer.getWeightsList().forEach(this::recordObservedWeights);
         boolean restarted = !knownIncarnation.equals(Optional.of(peer.getIncarnation()));
         if (restarted && isServing()) {
-            // Lets the started VM know at once that it can read the configuration from this one.
+            // Notifies the restarted VM at once that it can read the configuration from this VM.
             gossip.sendTo(ownState(), peer.getPeersAddress());
         }
     }
--- a/router/src/main/java/org/bronzelug/router/control/ControlState.java
+++ b/router/src/main/java/org/bronzelug/router/control/ControlState.java
@@ -153,9 +153,9 @@
     /**
      * @param ageNanos assumed age of the version, used if it is the first known one of its model.
      *     Only a version that was published before this VM started has an unknown age. Without this
-     *     distinction, a model's first new version is taken for seconds older than it is, so all
-     *     runners are too far behind for a request long before any of them can have loaded it, and
-     *     every request is rejected.
+     *     distinction, a model's first new version is assumed to be seconds older than it is, so
+     *     all runners are too far behind for a request long before any of them can have loaded it,
+     *     and every request is rejected.
      */
     private void updateTarget(ObjectDecoder.PublishedWeights published, long ageNanos) {
         WeightsTarget known = weights.get(published.model());
--- a/router/src/main/java/org/bronzelug/router/control/KindWatch.java
+++ b/router/src/main/java/org/bronzelug/router/control/KindWatch.java
@@ -48,8 +48,8 @@
     private static final long MAXIMUM_BATCH_MILLIS = 300;
 
     /**
-     * A change that arrives within this time of the watch's start counts as following the previous
-     * one.
+     * A change that arrives within this time after the watch's start counts as following the
+     * previous change closely.
      */
     private static final long SUCCESSIVE_CHANGE_NANOS = 1_000_000_000L;
 
--- a/router/src/main/java/org/bronzelug/router/control/PeerFeed.java
+++ b/router/src/main/java/org/bronzelug/router/control/PeerFeed.java
@@ -20,10 +20,10 @@
 import org.bronzelug.router.store.StoredItem;
 
 /**
- * Serves the platform's objects to peers by long poll. A peer sends the revision of each kind that
- * it has and receives the changes after it, or all objects of a kind where the changes are no
- * longer remembered. Where the peer is up to date, the response waits for the next change, at most
- * {@link #MAXIMUM_WAIT_MILLIS}. Confined to the control thread.
+ * Serves the platform's objects to peers by long poll. A peer sends the revision that it has of
+ * each kind, and receives the changes after that revision, or all objects of the kind if those
+ * changes are no longer kept. If the peer is up to date, the response waits for the next change, at
+ * most {@link #MAXIMUM_WAIT_MILLIS}. Confined to the control thread.
  */
 final class PeerFeed {
     static final String PATH = "/changes";
--- a/router/src/main/java/org/bronzelug/router/control/PlatformReading.java
+++ b/router/src/main/java/org/bronzelug/router/control/PlatformReading.java
@@ -33,27 +33,27 @@
  * next round.
  *
  * <p>Invariant: in both modes, if some reachable peer has reported a later revision of any kind in
- * {@link #CATCH_UP_ROUNDS} rounds in a row, one that is ahead is read at once. Without this, a VM
- * that the platform rejects while it serves the other VMs and the operators would go on accepting
- * withdrawn keys. Mirrors only move forward, so it does no harm that several sources fill them.
- * Confined to the control thread.
+ * {@link #CATCH_UP_ROUNDS} rounds in a row, this VM reads from such a peer at once. Without this, a
+ * VM that the platform rejects while it serves the other VMs and the operators would go on
+ * accepting withdrawn keys. Mirrors only move forward, so it does no harm that several sources fill
+ * them. Confined to the control thread.
  */
 final class PlatformReading implements KindWatch.Listener {
     /**
-     * Rounds behind a peer after which the peer is read, if no other source has brought its
-     * revision by then.
+     * Number of consecutive rounds with a peer ahead of this VM, after which this VM reads from
+     * such a peer. Until then, another source may deliver the revision.
      */
     private static final int CATCH_UP_ROUNDS = 2;
 
     /**
-     * Rounds behind a peer after which this VM's own watches are taken for hanging on dead
-     * connections.
+     * Number of consecutive rounds with a peer ahead of this VM, after which this VM's own watches
+     * are assumed to hang on dead connections.
      */
     private static final int RESTART_ROUNDS = 6;
 
     /**
-     * Consecutive decisions that this VM need not read the platform after which it stops: the VMs'
-     * views of the fleet differ.
+     * Number of consecutive decisions that this VM need not read the platform, after which it
+     * stops. A single decision is not enough, since the VMs' views of the fleet differ.
      */
     private static final int STOP_DECISIONS = 4;
 
@@ -314,7 +314,7 @@
         polledPeer = Optional.empty();
     }
 
-    /** Reads from a peer that is ahead what this VM's own source has not brought. */
+    /** Reads the changes that this VM's own source has not delivered from a peer that is ahead. */
     private void catchUp(int rounds) {
         List<Member> ahead =
                 members.live(System.nanoTime()).stream()
--- a/router/src/main/java/org/bronzelug/router/control/WatchCheck.java
+++ b/router/src/main/java/org/bronzelug/router/control/WatchCheck.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Checks at intervals that no watch is lost, by asking the platform for changes that its watches
- * should have returned.
+ * Checks at intervals that no watch is lost, by asking the platform for changes that this VM's
+ * watches should have returned.
  *
  * <p>Without this, a watch that the platform never received looks like a watch without changes: the
  * platform falls silent just as all VMs send their next watch, and a withdrawn key stays valid on
@@ -21,8 +21,8 @@
     private static final long MINIMUM_PERIOD_MILLIS = 250;
 
     /**
-     * Checks in each time in which a change must be in force everywhere: the second half of that
-     * time is for propagating the change.
+     * Number of checks within the time in which a change must be in force everywhere: the second
+     * half of that time is for propagating the change.
      */
     private static final int CHECKS_PER_CHANGE = 2;
 
@@ -65,7 +65,7 @@
 
     /**
      * Checks the next kind that may have changed. The platform's revision counts the changes of all
-     * kinds, so a kind whose mirror is at the platform's revision has not.
+     * kinds, so a kind whose mirror is at the platform's revision has not changed.
      */
     private void checkNext(Iterator<String> remainingKinds, long platformRevision) {
         while (remainingKinds.hasNext()) {
--- a/router/src/main/java/org/bronzelug/router/exchange/Attempts.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Attempts.java
@@ -59,7 +59,8 @@
     }
 
     /**
-     * Takes a retry for a request that an endpoint did not execute.
+     * Takes one retry out of the pool's budget for a request that the last endpoint did not
+     * execute.
      *
      * @return whether the request may be sent to one more endpoint
      */
@@ -68,7 +69,7 @@
     }
 
     /**
-     * Takes a retry for a request that may have run.
+     * Takes one retry out of the pool's budget for a request that may have run.
      *
      * @return whether the request may be sent to one more endpoint
      */
--- a/router/src/main/java/org/bronzelug/router/exchange/EndpointSelection.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/EndpointSelection.java
@@ -99,7 +99,10 @@
         chargedLimit = Optional.empty();
     }
 
-    /** Returns when the first of the endpoints at their limits accepts one more request. */
+    /**
+     * Returns the time until one of the endpoints at their limits accepts one more request; empty
+     * if the last choice skipped none because of its limit.
+     */
     OptionalLong limitRetryMillis(long nowNanos) {
         return limited.stream()
                 .flatMap(endpoint -> endpoint.limit().stream())
--- a/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/Exchange.java
@@ -23,7 +23,7 @@
 
 /**
  * Forwards one admitted request and completes it exactly once: with a response, with an error, or
- * by closing the caller's connection within a response.
+ * by closing the caller's connection in the middle of a response.
  *
  * <p>The request is sent to one endpoint at a time. If an attempt fails before the caller has got
  * any part of a response, the request is retried at another endpoint if {@link Attempts} allows it.
@@ -33,7 +33,7 @@
  * endpoint, but only after that one has been chosen.
  *
  * <p>Invariants: a request that may have run, since it was written to a connection and not reported
- * as not executed, is sent again only if its route allows retries. The caller is told that the
+ * as not executed, is sent again only if its route allows retries. A response states that the
  * request has not run only if that holds for all attempts. Confined to the traffic thread.
  */
 final class Exchange implements ResponseListener, CallerListener, EndpointState.DrainListener {
@@ -56,7 +56,7 @@
     /** Plain requests take a sixth of their goal time; one that takes twice the goal is stuck. */
     private static final int STALLED_GOAL_MULTIPLE = 2;
 
-    /** Half of the gap between events that callers tolerate, in rounds of state updates. */
+    /** Half of the event gap that callers tolerate; a delay lasts one round of state updates. */
     private static final int MAXIMUM_RESUME_DELAYS = 7;
 
     private static final long RESUME_DELAY_MILLIS = 150;
@@ -318,8 +318,8 @@
     /**
      * Schedules another attempt for a begun stream that no endpoint accepts now.
      *
-     * <p>Without this, a stream that left a runner which was to load weights broke off if the next
-     * runner began to load at the same moment and rejected it, although both accepted requests
+     * <p>Without this, a stream that left a runner which was to load weights was interrupted if the
+     * next runner began to load at the same moment and rejected it, although both accepted requests
      * again within a second. Callers tolerate a gap of at least two seconds.
      *
      * @return whether another attempt is scheduled
--- a/router/src/main/java/org/bronzelug/router/exchange/WireFormat.java
+++ b/router/src/main/java/org/bronzelug/router/exchange/WireFormat.java
@@ -20,7 +20,10 @@
      */
     HttpHeaders endpointHeaders(HttpRequest request, Dispatch dispatch);
 
-    /** Sets the deadline header of the request for an endpoint: the milliseconds that are left. */
+    /**
+     * Sets the deadline header of the request for an endpoint: the milliseconds left until the
+     * caller's deadline.
+     */
     void setDeadline(HttpHeaders headers, long millis);
 
     /** Decodes the head of an endpoint's response. */
--- a/router/src/main/java/org/bronzelug/router/fleet/FleetGossip.java
+++ b/router/src/main/java/org/bronzelug/router/fleet/FleetGossip.java
@@ -32,9 +32,9 @@
  * Exchanges state updates with the other VMs by datagram.
  *
  * <p>{@link #send} addresses up to {@link #PEERS_PER_ROUND} peers, so that one round reaches all
- * peers of a small fleet, and several rounds, a turn, reach those of a large one. Datagrams are
- * neither acknowledged nor sent again: each state update supersedes the previous one, so the next
- * one makes up for a lost one.
+ * peers of a small fleet, and several rounds, together called a turn, reach all peers of a large
+ * one. Datagrams are neither acknowledged nor sent again: each state update supersedes the previous
+ * one, so the next one makes up for a lost one.
  *
  * <p>Invariant: in each turn every peer is addressed once before any is addressed again. Confined
  * to the control thread, except for start and stop.
@@ -170,8 +170,8 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // The socket of the sender reports an unreachable peer; the next round sends to it
-            // again.
+            // This VM's socket reports that a peer could not be reached; the next round that
+            // addresses the peer sends to it again.
             EventLog.debug(LogEvent.PEER_UNREACHABLE, "cause=\"" + cause.getMessage() + "\"");
         }
     }
--- a/router/src/main/java/org/bronzelug/router/order/OrderOutcome.java
+++ b/router/src/main/java/org/bronzelug/router/order/OrderOutcome.java
@@ -7,8 +7,8 @@
     /** The runner has these weights already. */
     HOLDS,
     /**
-     * The runner carries out another order, or has accepted one since its last report: get its
-     * report and order again.
+     * The runner carries out another order, or has accepted one since its last report. This VM must
+     * get a new report and send the order again.
      */
     BUSY,
     /**
--- a/router/src/main/java/org/bronzelug/router/order/OrderService.java
+++ b/router/src/main/java/org/bronzelug/router/order/OrderService.java
@@ -50,15 +50,15 @@
     /** Age of the last renewal from which the lease is renewed: half of its validity. */
     private static final long RENEW_MILLIS = OrderLease.VALID_MILLIS / 2;
 
-    /** Time that each VM leaves to every VM that precedes it in the order of acquisition. */
+    /** Time for which a VM waits for each VM that precedes it in the order of acquisition. */
     private static final long WAIT_PER_RANK_MILLIS = 300;
 
-    /** Time that the other VMs leave to the previous holder, if it is reachable. */
+    /** Time for which the other VMs wait for the previous holder, if it is reachable. */
     private static final long PREVIOUS_HOLDER_WAIT_MILLIS = 700;
 
     /**
-     * Between two rounds, the wall clock and the monotonic clock differ by more than this only if
-     * the VM was suspended or its wall clock was set.
+     * From one round to the next, the advances of the wall clock and of the monotonic clock differ
+     * by more than this only if the VM was suspended or its wall clock was set.
      */
     private static final long CLOCK_DIFFERENCE_MILLIS = 200;
 
@@ -105,7 +105,9 @@
         CompletableFuture<OrderOutcome> load(EndpointEntry runner, LoadOrder order);
     }
 
-    /** Updates the known lease after objects of a kind have changed. */
+    /**
+     * Records the latest version of the lease, if the kind that has changed is that of the lease.
+     */
     public void onChange(String kind) {
         if (kind.equals(ControlState.LEASE_KIND)) {
             state.mirror(kind).items().stream()
@@ -137,14 +139,17 @@
         }
     }
 
-    /** Sets the requests of all VMs in flight at each endpoint that responds to this VM. */
+    /**
+     * Sets the number of requests in flight, from all VMs, at each endpoint that responds to this
+     * VM.
+     */
     public void updateLoad(Map<String, Integer> requests) {
         load = requests;
     }
 
     /**
-     * Requests a runner's report to find out which weights it has, after it rejected a request that
-     * expected other ones.
+     * Requests a runner's report to find out which weights it has, after the runner rejected a
+     * request that expected other weights.
      */
     public void queryWeights(String id) {
         EndpointEntry runner = state.endpoints().get(id);
@@ -218,8 +223,8 @@
 
     /**
      * Treats the lease as lost, until it is renewed, if the wall clock and the monotonic clock have
-     * advanced differently. The VM was suspended then, which may stop the monotonic clock alone, so
-     * an expired lease would still look valid by that clock.
+     * advanced by different amounts. In that case the VM may have been suspended, which can stop
+     * the monotonic clock alone, so an expired lease would still look valid by that clock.
      */
     private void dropLeaseIfSuspended(long nowNanos) {
         long wallMillis = System.currentTimeMillis();
--- a/router/src/main/java/org/bronzelug/router/store/StoreException.java
+++ b/router/src/main/java/org/bronzelug/router/store/StoreException.java
@@ -17,7 +17,7 @@
 
     /** The kind of failure, which determines how to proceed. */
     public enum Problem {
-        /** No response, or one that says that nothing was done: retry later. */
+        /** No response arrived, or it stated that nothing was done: retry later. */
         UNAVAILABLE,
         /** The platform no longer has the changes after the requested revision: list again. */
         HISTORY_GONE,
--- a/router/src/main/java/org/bronzelug/router/traffic/EndpointChoice.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/EndpointChoice.java
@@ -111,7 +111,7 @@
      * Returns the runner for a prompt; empty if none is available.
      *
      * @param cachePartition separates the cached prefixes of dedicated teams
-     * @param allowed tells by id which endpoints may be chosen
+     * @param allowed returns whether the endpoint with the given id may be chosen
      */
     public Optional<RunnerChoice> chooseRunner(
             String pool,
--- a/router/src/main/java/org/bronzelug/router/traffic/TeamRates.java
+++ b/router/src/main/java/org/bronzelug/router/traffic/TeamRates.java
@@ -29,7 +29,10 @@
      */
     private static final double RESTART_FRACTION = 0.2;
 
-    /** Below this fraction of its burst, a team's usage is sent to all VMs immediately. */
+    /**
+     * If a team's bucket is below this fraction of its burst, the team's usage is sent to all VMs
+     * immediately.
+     */
     private static final double CONTENDED_FRACTION = 0.5;
 
     private final boolean fleetStarts;
--- a/router/src/test/java/org/bronzelug/router/control/ControlStateTest.java
+++ b/router/src/test/java/org/bronzelug/router/control/ControlStateTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The assumed age of weights that a VM finds at its start, and of those published later. */
+/**
+ * Checks the assumed age of weights that were published before the VM started, and of weights
+ * published later.
+ */
 class ControlStateTest {
     private static final long INITIAL_AGE_NANOS = TimeUnit.SECONDS.toNanos(1_000);
     private static final String WEIGHTS = OneModelDecoder.WEIGHTS;
--- a/standin/src/main/java/org/bronzelug/standin/ModelRunnerStandin.java
+++ b/standin/src/main/java/org/bronzelug/standin/ModelRunnerStandin.java
@@ -168,7 +168,7 @@
         return state;
     }
 
-    /** Sets whether an order with a fencing number below the highest received one is rejected. */
+    /** Sets whether an order with a fencing token below the highest received one is rejected. */
     public void setChecksFencing(boolean checks) {
         checksFencing = checks;
     }
